--- a/src/fleet/sim/policy.cpp
+++ b/src/fleet/sim/policy.cpp
@@ -48,7 +48,9 @@
 
   std::vector<Action> take(Tenths now, const std::vector<Event>& events) override {
     now_ = now;
-    for (const Event& event : events) happened(event);
+    for (const Event& event : events) {
+      happened(event);
+    }
     return std::exchange(actions_, {});
   }
 
@@ -71,42 +73,72 @@
     switch (event.kind) {
       case EventKind::list_copy:
         listed(event), act(ActionKind::subscribe, "");
-        if (name_ == "truth") look_again();
+        if (name_ == "truth") {
+          look_again();
+        }
+        break;
+      case EventKind::list_whole:
+        hosts_gone(event), listed(event);
+        break;
+      case EventKind::list_changes:
+        listed(event);
+        break;
+      case EventKind::list_lost:
+        act(ActionKind::set_alarm, "", "", kAskAgain);
+        break;
+      case EventKind::alarm:
+        event.number == kLooks ? ease() : act(ActionKind::subscribe, "");
+        break;
+      case EventKind::stopping:
+        move_all("");
+        break;
+      case EventKind::attachment:
+        held_[event.id].event = event, ask(event.id);
+        break;
+      case EventKind::established:
+        held_[event.id].standing = true;
+        break;
+      case EventKind::try_ended:
+        ended(event);
+        break;
+      case EventKind::client_left:
+        held_.erase(event.id);
+        break;
+      default:
         break;
-      case EventKind::list_whole: hosts_gone(event), listed(event); break;
-      case EventKind::list_changes: listed(event); break;
-      case EventKind::list_lost: act(ActionKind::set_alarm, "", "", kAskAgain); break;
-      case EventKind::alarm: event.number == kLooks ? ease() : act(ActionKind::subscribe, ""); break;
-      case EventKind::stopping: move_all(""); break;
-      case EventKind::attachment: held_[event.id].event = event, ask(event.id); break;
-      case EventKind::established: held_[event.id].standing = true; break;
-      case EventKind::try_ended: ended(event); break;
-      case EventKind::client_left: held_.erase(event.id); break;
-      default: break;
     }
   }
 
   void listed(const Event& event) {
     for (const Listing& one : event.listings) {
       hosts_[one.host].listing = one;
-      if (one.state != HostState::healthy) move_all(one.host);
+      if (one.state != HostState::healthy) {
+        move_all(one.host);
+      }
     }
   }
   void hosts_gone(const Event& event) {
-    for (auto& [id, known] : hosts_)
+    for (auto& [id, known] : hosts_) {
       if (std::none_of(event.listings.begin(), event.listings.end(),
-                       [&id = id](const Listing& one) { return one.host == id; }))
+                       [&id = id](const Listing& one) { return one.host == id; })) {
         known.listing.state = HostState::gone;
+      }
+    }
   }
   // What stands on hosts that are dead or too full goes elsewhere, a part at a time.
   void ease() {
     look_again();
     for (const auto& [host, known] : hosts_) {
       const double load = truth_(host);
-      if (load <= kFullAt) continue;
+      if (load <= kFullAt) {
+        continue;
+      }
       int left = load > 1e6 ? INT32_MAX : static_cast<int>(kEased * known.open);
-      for (const auto& [id, held] : held_)
-        if (held.standing && held.tried.back() == host && left-- > 0) act(ActionKind::move, id, host);
+      for (const auto& [id, held] : held_) {
+        if (held.standing && held.tried.back() == host && left-- > 0) {
+          act(ActionKind::move, id, host);
+        }
+      }
     }
   }
   void look_again() {
@@ -114,24 +146,32 @@
     actions_.back().number = kLooks;
   }
   bool home(const Held& asks, const std::string& host) const {
-    if (!asks.event.group) return false;
+    if (!asks.event.group) {
+      return false;
+    }
     return std::any_of(held_.begin(), held_.end(), [&](const auto& one) {
       return one.second.standing && one.second.event.group == asks.event.group &&
              one.second.tried.back() == host;
     });
   }
   void move_all(const std::string& host) {
-    for (const auto& [id, held] : held_)
-      if (held.standing && (host.empty() || held.tried.back() == host))
+    for (const auto& [id, held] : held_) {
+      if (held.standing && (host.empty() || held.tried.back() == host)) {
         act(ActionKind::move, id, held.tried.back());
+      }
+    }
   }
 
   void ended(const Event& event) {
     const auto found = held_.find(event.id);
-    if (found == held_.end()) return;
+    if (found == held_.end()) {
+      return;
+    }
     Known& known = hosts_[event.host];
     known.open = std::max(0, known.open - 1);
-    if (event.final || found->second.standing) return void(held_.erase(found));
+    if (event.final || found->second.standing) {
+      return void(held_.erase(found));
+    }
     const bool ran = event.outcome != Outcome::turned_away && event.outcome != Outcome::no_connection &&
                      event.outcome != Outcome::not_sent;
     const std::string at = entry(settings_, "traffic.", found->second.event.traffic_type);
@@ -162,18 +202,24 @@
 
   // Lower comes first.
   double rank(const Held& held, const std::string& id, const Known& known) {
-    if (fault_ == Fault::heaps_on_cold) return -static_cast<double>(known.listing.started);
+    if (fault_ == Fault::heaps_on_cold) {
+      return -static_cast<double>(known.listing.started);
+    }
     const double again = std::count(held.tried.begin(), held.tried.end(), id) ? 1e9 : 0;
     const double far = known.listing.zone == text(settings_, "zone") ? 0 : 1;
-    if (name_ == "truth")
+    if (name_ == "truth") {
       return again + truth_(id) + 0.3 * far - (home(held, id) ? kHome : 0) + known.open * 1e-6;
-    if (name_ == "fewest") return again + 1e6 * far + known.open / std::max(known.listing.size, 1e-6);
+    }
+    if (name_ == "fewest") {
+      return again + 1e6 * far + known.open / std::max(known.listing.size, 1e-6);
+    }
     if (name_ == "ring") {
       const Event& event = held.event;
       const std::uint64_t key = event.group ? hash(static_cast<std::uint64_t>(*event.group)) : hash(event.id);
       std::uint64_t nearest = UINT64_MAX;
-      for (int i = 0; i < std::max(1, static_cast<int>(kPoints * known.listing.size)); ++i)
+      for (int i = 0; i < std::max(1, static_cast<int>(kPoints * known.listing.size)); ++i) {
         nearest = std::min(nearest, hash(hash(id) + static_cast<unsigned>(i)) - key);
+      }
       return again + static_cast<double>(nearest) / 1.9e19;
     }
     return again + 1e6 * far + chance_.share();
@@ -183,12 +229,17 @@
     std::string best;
     double least = 0;
     for (const auto& [id, known] : hosts_) {
-      if (known.listing.state != HostState::healthy && fault_ != Fault::ignores_drain) continue;
+      if (known.listing.state != HostState::healthy && fault_ != Fault::ignores_drain) {
+        continue;
+      }
       // A draining host is what this fault likes best.
       double here = rank(held, id, known);
-      if (fault_ == Fault::ignores_drain && known.listing.state != HostState::healthy && here < 1e8)
+      if (fault_ == Fault::ignores_drain && known.listing.state != HostState::healthy && here < 1e8) {
         here -= 1e7;
-      if (best.empty() || here < least) best = id, least = here;
+      }
+      if (best.empty() || here < least) {
+        best = id, least = here;
+      }
     }
     return best;
   }
@@ -210,22 +261,29 @@
 std::vector<std::string> policy_names() {
   std::vector<std::string> out{"dapplewharf"};
   out.insert(out.end(), std::begin(kPlain), std::end(kPlain));
-  for (const auto& [name, fault] : kFaulty) out.push_back(name);
+  for (const auto& [name, fault] : kFaulty) {
+    out.push_back(name);
+  }
   return out;
 }
 
 void check_policy(const std::string& name) {
   std::string names;
   for (const std::string& known : policy_names()) {
-    if (name == known) return;
+    if (name == known) {
+      return;
+    }
     names += (names.empty() ? "" : ", ") + known;
   }
   throw BadInput("--policy:0:0: unknown policy '" + name + "'; expected one of: " + names);
 }
 
 Fault fault_of(const std::string& name) {
-  for (const auto& [known, fault] : kFaulty)
-    if (name == known) return fault;
+  for (const auto& [known, fault] : kFaulty) {
+    if (name == known) {
+      return fault;
+    }
+  }
   return Fault::none;
 }
 
@@ -234,7 +292,9 @@
   const Fault fault = fault_of(name);
   const bool own = name == "dapplewharf" ||
                    (fault != Fault::none && fault != Fault::ignores_drain && fault != Fault::heaps_on_cold);
-  if (own) return std::make_unique<Module>(settings, seed, now);
+  if (own) {
+    return std::make_unique<Module>(settings, seed, now);
+  }
   return std::make_unique<Baseline>(name, settings, seed, std::move(truth));
 }
 
--- a/src/fleet/sim/sim.cpp
+++ b/src/fleet/sim/sim.cpp
@@ -102,8 +102,9 @@
     zones_ = scenario_.zones.size();
     types_ = scenario_.traffic.size();
     shortest_goal_ = 1e18;
-    for (const Traffic& type : scenario_.traffic)
+    for (const Traffic& type : scenario_.traffic) {
       shortest_goal_ = std::min(shortest_goal_, type.message_goal_ms);
+    }
     wanting_.assign(types_, 0);
     cuts_.assign(zones_ * zones_, 0), one_ways_ = cuts_;
     result_.driver = "sim", result_.policy = policy, result_.seed = seed;
@@ -118,7 +119,9 @@
       host.served.assign(zones_ * types_, 0);
       host.is = plan_.hosts[i].joins_s > 0 ? HostIs::down : HostIs::up;
       host.listed = plan_.hosts[i].joins_s == 0;
-      if (plan_.hosts[i].joins_s > 0) at(from_s(plan_.hosts[i].joins_s), Kind::host_joins, i);
+      if (plan_.hosts[i].joins_s > 0) {
+        at(from_s(plan_.hosts[i].joins_s), Kind::host_joins, i);
+      }
     }
     nodes_.resize(static_cast<std::size_t>(scenario_.nodes));
     for (Index i = 0; i < nodes_.size(); ++i) {
@@ -128,12 +131,17 @@
       begin_node(i);
     }
     clients_.resize(plan_.sessions.size());
-    for (Index i = 0; i < clients_.size(); ++i) at(from_s(plan_.sessions[i].arrive_s), Kind::client_comes, i);
-    for (Index i = 0; i < plan_.troubles.size(); ++i)
+    for (Index i = 0; i < clients_.size(); ++i) {
+      at(from_s(plan_.sessions[i].arrive_s), Kind::client_comes, i);
+    }
+    for (Index i = 0; i < plan_.troubles.size(); ++i) {
       at(from_s(plan_.troubles[i].trouble.at_s), Kind::trouble_begins, i);
+    }
     at(kTick, Kind::tick), at(kToldEvery, Kind::told);
     double longest = 0;
-    for (const Traffic& type : scenario_.traffic) longest = std::max(longest, type.expiry_ms);
+    for (const Traffic& type : scenario_.traffic) {
+      longest = std::max(longest, type.expiry_ms);
+    }
     const Tenths last =
         end_ + static_cast<Tenths>((longest + 100) * kMs);  // what was taken is still answered
     while (!queue_.empty() && queue_.top().when <= last) {
@@ -145,7 +153,9 @@
     now_ = last;
     audit_.finish(last);
     result_.take(audit_);
-    if (effort) *effort = {static_cast<double>(last) / kSecond, connection_s_};
+    if (effort) {
+      *effort = {static_cast<double>(last) / kSecond, connection_s_};
+    }
     return std::move(result_);
   }
 
@@ -235,42 +245,78 @@
 
   void happens(const Happening& one) {
     switch (one.kind) {
-      case Kind::client_comes: return client_comes(one.a);
-      case Kind::ask_arrives: return ask_arrives(one.a, static_cast<int>(one.c));
-      case Kind::gives_up: return gives_up(one.a, static_cast<int>(one.c), false);
-      case Kind::leaves: return gives_up(one.a, static_cast<int>(one.c), true);
-      case Kind::wish_over: return wish_over(one.a);
-      case Kind::client_told: return client_told(one.a, static_cast<int>(one.b), one.c);
-      case Kind::try_sent: return try_sent(one.a);
-      case Kind::try_arrives: return try_arrives(one.a);
-      case Kind::try_fails: return try_ends(one.a, static_cast<Outcome>(one.c));
+      case Kind::client_comes:
+        return client_comes(one.a);
+      case Kind::ask_arrives:
+        return ask_arrives(one.a, static_cast<int>(one.c));
+      case Kind::gives_up:
+        return gives_up(one.a, static_cast<int>(one.c), false);
+      case Kind::leaves:
+        return gives_up(one.a, static_cast<int>(one.c), true);
+      case Kind::wish_over:
+        return wish_over(one.a);
+      case Kind::client_told:
+        return client_told(one.a, static_cast<int>(one.b), one.c);
+      case Kind::try_sent:
+        return try_sent(one.a);
+      case Kind::try_arrives:
+        return try_arrives(one.a);
+      case Kind::try_fails:
+        return try_ends(one.a, static_cast<Outcome>(one.c));
       case Kind::try_times_out:
         return try_ends(one.a, conns_[one.a].written ? Outcome::no_answer : Outcome::no_connection);
-      case Kind::host_turn: return host_turn(one.a, one.c);
-      case Kind::up_arrives: return up_arrives(one.a);
-      case Kind::word_arrives: return word_arrives(one.a, static_cast<Outcome>(one.c));
-      case Kind::host_hears_end: return host_hears_end(one.a);
-      case Kind::load_changes: return load_changes(one.a);
-      case Kind::node_alarm: return node_alarm(one.a, static_cast<int>(one.b), static_cast<int>(one.c));
-      case Kind::probe_arrives: return probe_arrives(one.a);
-      case Kind::probe_over: return probe_over(one.a, static_cast<Outcome>(one.c));
-      case Kind::list_comes: return list_comes(one.a, static_cast<int>(one.b), one.c != 0);
-      case Kind::list_fails: return list_fails(one.a, static_cast<int>(one.b));
-      case Kind::list_counts: return list_counts(one.a, one.b);
-      case Kind::publish: return publish(one.a, static_cast<int>(one.b), static_cast<HostState>(one.c));
-      case Kind::trouble_begins: return trouble(one.a, true);
-      case Kind::trouble_ends: return trouble(one.a, false);
-      case Kind::neighbour_turns: return neighbour_turns(one.a, one.c != 0);
-      case Kind::drain_next: return drains(one.a, one.b);
-      case Kind::paced: return paced(one.a, static_cast<int>(one.c));
-      case Kind::host_back: return host_back(one.a, static_cast<int>(one.c));
-      case Kind::host_joins: return host_back(one.a, hosts_[one.a].life);
-      case Kind::node_back: return node_back(one.a);
-      case Kind::node_ends: return node_ends(one.a, static_cast<int>(one.c));
-      case Kind::front_sees: nodes_[one.a].dealt = nodes_[one.a].alive && !nodes_[one.a].stopping; return;
-      case Kind::front_stops: nodes_[one.a].dealt = false; return;
-      case Kind::tick: return tick();
-      case Kind::told: return tell_delays();
+      case Kind::host_turn:
+        return host_turn(one.a, one.c);
+      case Kind::up_arrives:
+        return up_arrives(one.a);
+      case Kind::word_arrives:
+        return word_arrives(one.a, static_cast<Outcome>(one.c));
+      case Kind::host_hears_end:
+        return host_hears_end(one.a);
+      case Kind::load_changes:
+        return load_changes(one.a);
+      case Kind::node_alarm:
+        return node_alarm(one.a, static_cast<int>(one.b), static_cast<int>(one.c));
+      case Kind::probe_arrives:
+        return probe_arrives(one.a);
+      case Kind::probe_over:
+        return probe_over(one.a, static_cast<Outcome>(one.c));
+      case Kind::list_comes:
+        return list_comes(one.a, static_cast<int>(one.b), one.c != 0);
+      case Kind::list_fails:
+        return list_fails(one.a, static_cast<int>(one.b));
+      case Kind::list_counts:
+        return list_counts(one.a, one.b);
+      case Kind::publish:
+        return publish(one.a, static_cast<int>(one.b), static_cast<HostState>(one.c));
+      case Kind::trouble_begins:
+        return trouble(one.a, true);
+      case Kind::trouble_ends:
+        return trouble(one.a, false);
+      case Kind::neighbour_turns:
+        return neighbour_turns(one.a, one.c != 0);
+      case Kind::drain_next:
+        return drains(one.a, one.b);
+      case Kind::paced:
+        return paced(one.a, static_cast<int>(one.c));
+      case Kind::host_back:
+        return host_back(one.a, static_cast<int>(one.c));
+      case Kind::host_joins:
+        return host_back(one.a, hosts_[one.a].life);
+      case Kind::node_back:
+        return node_back(one.a);
+      case Kind::node_ends:
+        return node_ends(one.a, static_cast<int>(one.c));
+      case Kind::front_sees:
+        nodes_[one.a].dealt = nodes_[one.a].alive && !nodes_[one.a].stopping;
+        return;
+      case Kind::front_stops:
+        nodes_[one.a].dealt = false;
+        return;
+      case Kind::tick:
+        return tick();
+      case Kind::told:
+        return tell_delays();
     }
   }
 
@@ -278,16 +324,22 @@
 
   void client_comes(Index i) {
     Client& client = clients_[i];
-    if (client.done || client.standing || client.waiting) return;
+    if (client.done || client.standing || client.waiting) {
+      return;
+    }
     if (!client.begun) {
       client.begun = true;
       client.wish_until = now_ + from_s(session(i).life_s);
       ++wanting_[static_cast<std::size_t>(session(i).traffic)];
       at(client.wish_until, Kind::wish_over, i);
     }
-    if (now_ >= end_) return;
+    if (now_ >= end_) {
+      return;
+    }
     const Index node = dealt_to(session(i).zone);
-    if (node == kNone) return at(now_ + kNoNode, Kind::client_comes, i);
+    if (node == kNone) {
+      return at(now_ + kNoNode, Kind::client_comes, i);
+    }
     client.node = node, client.node_life = nodes_[node].life;
     client.id = id_of(session(i), ++client.attempt);
     client.answered = false, client.conn = kNone, client.tries = 0, client.sent = now_;
@@ -297,17 +349,22 @@
 
   // The front deals in turn over the nodes of the client's zone, over all others if there is none.
   Index dealt_to(int zone) {
-    for (const bool anywhere : {false, true})
+    for (const bool anywhere : {false, true}) {
       for (std::size_t n = 0; n < nodes_.size(); ++n) {
         const Index at = static_cast<Index>(turn_++ % nodes_.size());
-        if (nodes_[at].dealt && (anywhere || nodes_[at].zone == zone)) return at;
+        if (nodes_[at].dealt && (anywhere || nodes_[at].zone == zone)) {
+          return at;
+        }
       }
+    }
     return kNone;
   }
 
   void ask_arrives(Index i, int attempt) {
     Client& client = clients_[i];
-    if (client.attempt != attempt || !client.waiting) return;
+    if (client.attempt != attempt || !client.waiting) {
+      return;
+    }
     Node& node = nodes_[client.node];
     if (!node.alive || node.life != client.node_life) {  // refused: nothing was taken
       client.waiting = false;
@@ -321,18 +378,23 @@
     event.kind = EventKind::attachment;
     event.id = client.id;
     event.traffic_type = type_of(i).name;
-    if (session(i).tenant >= 0)
+    if (session(i).tenant >= 0) {
       event.tenant = scenario_.tenants[static_cast<std::size_t>(session(i).tenant)].name;
+    }
     event.key = static_cast<std::int64_t>(session(i).seed >> 1);
-    if (session(i).group >= 0)
+    if (session(i).group >= 0) {
       event.group = static_cast<std::int64_t>(XXH64(&session(i).group, sizeof(int), 7) >> 1);
+    }
     event.expiry = kEpoch + now_ + from_ms(type_of(i).expiry_ms);
-    if (node.stopping) event.expiry = std::min(event.expiry, kEpoch + node.stopped + kNodeEnds - kTick);
+    if (node.stopping) {
+      event.expiry = std::min(event.expiry, kEpoch + node.stopped + kNodeEnds - kTick);
+    }
     event.returned = client.attempt > 1;
     const Tenths longest = from_ms(type_of(i).expiry_ms + scenario_.grace_to_answer_ms);
     at(now_ + longest + 1, Kind::gives_up, i, kNone, attempt);
-    if (session(i).patience_ms > 0 && attempt == 1)
+    if (session(i).patience_ms > 0 && attempt == 1) {
       at(now_ + from_ms(session(i).patience_ms), Kind::leaves, i, kNone, attempt);
+    }
     node.events.push_back(std::move(event));
     settle(client.node);
   }
@@ -340,33 +402,47 @@
   // By itself before its time is up, or because it has waited in vain.
   void gives_up(Index i, int attempt, bool by_itself) {
     Client& client = clients_[i];
-    if (client.attempt != attempt || !client.waiting) return;
-    if (by_itself && client.answered) return;  // the answer is on its way
+    if (client.attempt != attempt || !client.waiting) {
+      return;
+    }
+    if (by_itself && client.answered) {
+      return;  // the answer is on its way
+    }
     audit_.client_left(client.id, now_);
     client.waiting = false;
     leave_node(i);
-    if (by_itself) return wish_ends(i);
+    if (by_itself) {
+      return wish_ends(i);
+    }
     again(i, Reply::none, 0);
   }
 
   void leave_node(Index i) {
     Client& client = clients_[i];
     Node& node = nodes_[client.node];
-    if (!asks_.erase(client.id) || !node.alive || node.life != client.node_life) return;
+    if (!asks_.erase(client.id) || !node.alive || node.life != client.node_life) {
+      return;
+    }
     --node.held;
     Event event;
     event.kind = EventKind::client_left;
     event.id = client.id;
     node.events.push_back(std::move(event));
-    if (client.conn != kNone) end_conn(client.conn, Outcome::cancelled, true);
+    if (client.conn != kNone) {
+      end_conn(client.conn, Outcome::cancelled, true);
+    }
     settle(client.node);
   }
 
   void again(Index i, Reply got, double told_ms) {
     Client& client = clients_[i];
     const bool failed = got != Reply::cut && got != Reply::moved;
-    if (failed) ++client.failures;
-    if (client.done) return;
+    if (failed) {
+      ++client.failures;
+    }
+    if (client.done) {
+      return;
+    }
     const double wait = comes_again_ms(scenario_, session(i), got, told_ms, std::max(1, client.failures),
                                        static_cast<std::uint64_t>(client.attempt));
     at(now_ + from_ms(wait), Kind::client_comes, i);
@@ -374,7 +450,9 @@
 
   void wish_over(Index i) {
     Client& client = clients_[i];
-    if (client.done) return;
+    if (client.done) {
+      return;
+    }
     if (client.standing) {
       audit_.ended(client.id, Ended::by_client, true, now_);
       close_standing(i, true);
@@ -383,7 +461,9 @@
   }
   void wish_ends(Index i) {
     Client& client = clients_[i];
-    if (!client.done) --wanting_[static_cast<std::size_t>(session(i).traffic)];
+    if (!client.done) {
+      --wanting_[static_cast<std::size_t>(session(i).traffic)];
+    }
     client.done = true;
   }
 
@@ -393,24 +473,39 @@
     const auto reply = static_cast<Reply>(what & 7);
     const double told_ms = static_cast<double>(what >> 3);
     const std::string id = id_of(session(i), attempt);
-    if (reply == Reply::up) audit_.answered(id, Answered::honoured, now_), ++second().honoured;
-    if (reply == Reply::busy) audit_.answered(id, Answered::rejected, now_), ++second().rejected;
-    if (reply == Reply::other) audit_.answered(id, Answered::scrapped, now_), ++second().scrapped;
-    if (client.attempt != attempt) return;
     if (reply == Reply::up) {
-      if (!client.waiting) return;
+      audit_.answered(id, Answered::honoured, now_), ++second().honoured;
+    }
+    if (reply == Reply::busy) {
+      audit_.answered(id, Answered::rejected, now_), ++second().rejected;
+    }
+    if (reply == Reply::other) {
+      audit_.answered(id, Answered::scrapped, now_), ++second().scrapped;
+    }
+    if (client.attempt != attempt) {
+      return;
+    }
+    if (reply == Reply::up) {
+      if (!client.waiting) {
+        return;
+      }
       client.waiting = false;
       const double took = static_cast<double>(now_ - client.sent) / kMs;
       second().setup.add(took), result_.setup.add(took);
-      if (client.conn == kNone || conns_[client.conn].closed)
+      if (client.conn == kNone || conns_[client.conn].closed) {
         return again(i, Reply::cut, 0);  // gone meanwhile
-      if (client.done) return close_standing(i, true);
+      }
+      if (client.done) {
+        return close_standing(i, true);
+      }
       client.failures = 0;
       client.standing = true;
       serve(i, +1);
       return;
     }
-    if (!client.waiting) return;
+    if (!client.waiting) {
+      return;
+    }
     client.waiting = false;
     again(i, reply, told_ms);
   }
@@ -421,8 +516,9 @@
     const bool twice = fault_ == Fault::answers_twice && ++faults_ % kFaultEvery == 0;
     const bool never = fault_ == Fault::drops_answer && ++faults_ % kFaultEvery == 0;
     const std::int64_t what = static_cast<std::int64_t>(reply) + (static_cast<std::int64_t>(told_ms) << 3);
-    for (int n = never ? 0 : twice ? 2 : 1; n > 0; --n)
+    for (int n = never ? 0 : twice ? 2 : 1; n > 0; --n) {
       at(now_ + client_way(), Kind::client_told, i, static_cast<Index>(client.attempt), what);
+    }
   }
 
   // Counts a client among those that its host serves, or no more.
@@ -436,12 +532,18 @@
   // A standing connection is over for its client; `by_client`: the node hears of it from there.
   void close_standing(Index i, bool by_client) {
     Client& client = clients_[i];
-    if (client.standing) serve(i, -1);
+    if (client.standing) {
+      serve(i, -1);
+    }
     client.standing = false;
     const Index conn = client.conn;
-    if (conn == kNone || conns_[conn].closed || !by_client) return;
+    if (conn == kNone || conns_[conn].closed || !by_client) {
+      return;
+    }
     const Index node = conns_[conn].node;
-    if (!live(conns_[conn])) return;
+    if (!live(conns_[conn])) {
+      return;
+    }
     end_conn(conn, Outcome::cancelled, true);
     settle(node);
   }
@@ -453,18 +555,26 @@
 
   void begin_try(Index n, const Action& action) {
     const auto asked = asks_.find(action.id);
-    if (asked == asks_.end()) return;
+    if (asked == asks_.end()) {
+      return;
+    }
     Client& client = clients_[asked->second];
     const auto named = numbers_.find(action.host);
-    if (named == numbers_.end()) return;
+    if (named == numbers_.end()) {
+      return;
+    }
     const Index host = named->second;
     const Index i = static_cast<Index>(conns_.size());
     conns_.push_back(
         {asked->second, n, host, client.tries++, client.attempt, hosts_[host].life, nodes_[n].life, now_});
     client.conn = i;
     send_try(i, action.time);
-    if (nodes_[n].zone != plan_.hosts[host].zone) ++result_.crossings;
-    if (fault_ != Fault::two_tries || ++faults_ % kFaultEvery != 0 || hosts_.size() < 2) return;
+    if (nodes_[n].zone != plan_.hosts[host].zone) {
+      ++result_.crossings;
+    }
+    if (fault_ != Fault::two_tries || ++faults_ % kFaultEvery != 0 || hosts_.size() < 2) {
+      return;
+    }
     // The fault: a copy of the line goes to the next host as well; nobody heeds what comes of it.
     const Index other = (host + 1) % static_cast<Index>(hosts_.size());
     conns_.push_back({asked->second, n, other, -1, client.attempt, hosts_[other].life, nodes_[n].life, now_});
@@ -472,23 +582,28 @@
   }
 
   void send_try(Index i, Tenths time_out) {
-    const Index host = conns_[i].host, n = conns_[i].node;
+    const Index host = conns_[i].host;
+    const Index n = conns_[i].node;
     const Tenths one_way = way(nodes_[n], host);
     const bool reachable = hosts_[host].is != HostIs::vanished && !answers_lost(n, host);
     const bool refused = hosts_[host].is == HostIs::down ||
                          hosts_[host].connections >= scenario_.cap * plan_.hosts[host].cores;
-    if (!reachable)
+    if (!reachable) {
       at(now_ + std::min(time_out, from_ms(scenario_.connect_ms)), Kind::try_fails, i, kNone,
          static_cast<int>(Outcome::no_connection));
-    else if (refused)
+    } else if (refused) {
       at(now_ + 2 * one_way, Kind::try_fails, i, kNone, static_cast<int>(Outcome::no_connection));
-    else at(now_ + 2 * one_way, Kind::try_sent, i), at(now_ + 3 * one_way, Kind::try_arrives, i);
+    } else {
+      at(now_ + 2 * one_way, Kind::try_sent, i), at(now_ + 3 * one_way, Kind::try_arrives, i);
+    }
     at(now_ + time_out, Kind::try_times_out, i);
   }
 
   void try_sent(Index i) {
     Conn& conn = conns_[i];
-    if (conn.closed || !live(conn)) return;
+    if (conn.closed || !live(conn)) {
+      return;
+    }
     conn.written = true;
     audit_.try_came(id_of(session(conn.client), conn.attempt), static_cast<int>(conn.node),
                     static_cast<int>(conn.host), now_);
@@ -497,25 +612,38 @@
   void try_arrives(Index i) {
     Conn& conn = conns_[i];
     Host& host = hosts_[conn.host];
-    if (!conn.written || conn.closed || !live(conn)) return;
-    if (host.is == HostIs::down || host.life != conn.host_life)
+    if (!conn.written || conn.closed || !live(conn)) {
+      return;
+    }
+    if (host.is == HostIs::down || host.life != conn.host_life) {
       return at(now_ + way(nodes_[conn.node], conn.host), Kind::word_arrives, i, kNone,
                 static_cast<int>(Outcome::lost));
+    }
     ++host.connections;
     conn.at_host = true;
-    if (host.is != HostIs::up || cut(conn.node, conn.host)) return;  // nothing comes back
+    if (host.is != HostIs::up || cut(conn.node, conn.host)) {
+      return;  // nothing comes back
+    }
     host.model.advance(now_);
     const auto word = [&](Outcome outcome) {
       at(now_ + way(nodes_[conn.node], conn.host), Kind::word_arrives, i, kNone, static_cast<int>(outcome));
     };
-    if (host.draining || host.model.full()) return word(Outcome::turned_away);
+    if (host.draining || host.model.full()) {
+      return word(Outcome::turned_away);
+    }
     const std::string id = id_of(session(conn.client), conn.attempt);
     audit_.try_ran(id, static_cast<int>(conn.host));
-    if (chance_of(id, conn.host) < host.failing) return word(Outcome::error);
+    if (chance_of(id, conn.host) < host.failing) {
+      return word(Outcome::error);
+    }
     const double ratio = host.model.pushed();
     audit_.pushed(static_cast<int>(conn.host), ratio, now_);
-    if (ratio > 1) return falls(conn.host);
-    if (host.hangs > 0) return;
+    if (ratio > 1) {
+      return falls(conn.host);
+    }
+    if (host.hangs > 0) {
+      return;
+    }
     const double chance = -std::log(
         1 - fixed_share(session(conn.client).seed, 31 * static_cast<std::uint64_t>(conn.attempt) + 5));
     conn.work = host.model.add(type_of(conn.client).setup_ms / 1000 * chance);
@@ -526,31 +654,43 @@
   void wake(Index h) {
     Host& host = hosts_[h];
     const Tenths next = host.model.next();
-    if (host.turn >= now_ && host.turn <= next) return;
-    if (host.works.empty()) return;
+    if (host.turn >= now_ && host.turn <= next) {
+      return;
+    }
+    if (host.works.empty()) {
+      return;
+    }
     host.turn = next;
     at(next, Kind::host_turn, h, kNone, host.life);
   }
 
   void host_turn(Index h, std::int64_t life) {
     Host& host = hosts_[h];
-    if (host.life != life || host.is != HostIs::up) return;
+    if (host.life != life || host.is != HostIs::up) {
+      return;
+    }
     host.model.advance(now_);
     host.turn = -1;
     for (const HostModel::Work work : host.model.done()) {
       const auto found = host.works.find(work);
-      if (found == host.works.end()) continue;
+      if (found == host.works.end()) {
+        continue;
+      }
       const Index what = found->second;
       host.works.erase(found);
       Conn& conn = conns_[what];
       conn.work = 0;
-      if (!conn.at_host) continue;
+      if (!conn.at_host) {
+        continue;
+      }
       conn.up = true;
       conn.load = load_of(what);
       host.model.stand(conn.load, session(conn.client).group);
       host.standing.push_back(what);
       at(now_ + way(nodes_[conn.node], h), Kind::up_arrives, what);
-      if (scenario_.swing > 0) at(now_ + from_s(scenario_.change_s), Kind::load_changes, what);
+      if (scenario_.swing > 0) {
+        at(now_ + from_s(scenario_.change_s), Kind::load_changes, what);
+      }
     }
     wake(h);
   }
@@ -562,7 +702,9 @@
 
   void load_changes(Index i) {
     Conn& conn = conns_[i];
-    if (!conn.up) return;
+    if (!conn.up) {
+      return;
+    }
     Host& host = hosts_[conn.host];
     const double load = load_of(i);
     host.model.advance(now_);
@@ -582,8 +724,12 @@
 
   void up_arrives(Index i) {
     Conn& conn = conns_[i];
-    if (conn.closed || !live(conn) || answers_lost(conn.node, conn.host)) return;
-    if (conn.number < 0) return;  // the copy of a faulty node
+    if (conn.closed || !live(conn) || answers_lost(conn.node, conn.host)) {
+      return;
+    }
+    if (conn.number < 0) {
+      return;  // the copy of a faulty node
+    }
     const std::string id = id_of(session(conn.client), conn.attempt);
     audit_.try_over(id, static_cast<int>(conn.host), true, now_);
     Event& event = tell(conn.node, EventKind::established, id, conn.host);
@@ -596,14 +742,18 @@
   }
 
   void word_arrives(Index i, Outcome outcome) {
-    if (answers_lost(conns_[i].node, conns_[i].host)) return;
+    if (answers_lost(conns_[i].node, conns_[i].host)) {
+      return;
+    }
     try_ends(i, outcome);
   }
 
   // A try that had not come up has ended, for whatever reason.
   void try_ends(Index i, Outcome outcome) {
     Conn& conn = conns_[i];
-    if (conn.closed || !conn.hears || !live(conn)) return;
+    if (conn.closed || !conn.hears || !live(conn)) {
+      return;
+    }
     end_conn(i, outcome, false);
     settle(conn.node);
   }
@@ -611,31 +761,44 @@
   // The node's side of a connection is over: it tells the policy, and the host hears of it.
   void end_conn(Index i, Outcome outcome, bool final) {
     Conn& conn = conns_[i];
-    if (std::exchange(conn.closed, true)) return;
+    if (std::exchange(conn.closed, true)) {
+      return;
+    }
     const bool stood = !conn.hears;
-    if (stood) --nodes_[conn.node].standing[conn.host];
+    if (stood) {
+      --nodes_[conn.node].standing[conn.host];
+    }
     const std::string id = id_of(session(conn.client), conn.attempt);
-    if (!stood)
+    if (!stood) {
       audit_.try_over(id, static_cast<int>(conn.host), conn.written && outcome != Outcome::turned_away, now_);
+    }
     if (conn.number >= 0) {
       Event& event = tell(conn.node, EventKind::try_ended, id, conn.host);
       event.number = conn.number;
       event.outcome = outcome;
       event.took = now_ - conn.sent;
       event.final = final || stood;
-      if (stood) release(id, conn.node);
+      if (stood) {
+        release(id, conn.node);
+      }
     }
     at(now_ + way(nodes_[conn.node], conn.host), Kind::host_hears_end, i);
   }
   void release(const std::string& id, Index node) {
-    if (asks_.erase(id)) --nodes_[node].held;
+    if (asks_.erase(id)) {
+      --nodes_[node].held;
+    }
   }
 
   void host_hears_end(Index i) {
     Conn& conn = conns_[i];
     Host& host = hosts_[conn.host];
-    if (!conn.at_host || host.life != conn.host_life) return;
-    if (host.is == HostIs::vanished) return;  // it will be reset when the machine is back
+    if (!conn.at_host || host.life != conn.host_life) {
+      return;
+    }
+    if (host.is == HostIs::vanished) {
+      return;  // it will be reset when the machine is back
+    }
     host.model.advance(now_);
     host_forgets(i);
   }
@@ -646,7 +809,9 @@
       host.model.leave(conn.load, session(conn.client).group);
       std::erase(host.standing, i);
     }
-    if (conn.work) host.model.drop(conn.work), host.works.erase(conn.work);
+    if (conn.work) {
+      host.model.drop(conn.work), host.works.erase(conn.work);
+    }
     conn.up = conn.at_host = false;
     conn.work = 0;
     --host.connections;
@@ -656,13 +821,19 @@
   void host_ends(Index i, bool politely) {
     Conn& conn = conns_[i];
     const Index h = conn.host;
-    if (conn.at_host) host_forgets(i);
-    if (conn.closed || !live(conn) || answers_lost(conn.node, h)) return;
+    if (conn.at_host) {
+      host_forgets(i);
+    }
+    if (conn.closed || !live(conn) || answers_lost(conn.node, h)) {
+      return;
+    }
     const Index c = conn.client;
     const bool stood = !conn.hears;
     end_conn(i, politely ? Outcome::cancelled : Outcome::lost, stood);
     const Index node = conn.node;
-    if (stood) client_cut(c, politely ? Ended::moved : Ended::by_host, true);
+    if (stood) {
+      client_cut(c, politely ? Ended::moved : Ended::by_host, true);
+    }
     settle(node);
   }
 
@@ -670,9 +841,13 @@
     Client& client = clients_[c];
     audit_.ended(client.id, how, host_lives, now_);
     ++(how == Ended::moved ? second().moved : second().cut);
-    if (!client.standing) return;  // its answer is still on its way
+    if (!client.standing) {
+      return;  // its answer is still on its way
+    }
     close_standing(c, false);
-    if (!client.done) again(c, how == Ended::moved ? Reply::moved : Reply::cut, 0);
+    if (!client.done) {
+      again(c, how == Ended::moved ? Reply::moved : Reply::cut, 0);
+    }
   }
 
   // --- nodes ---
@@ -696,12 +871,16 @@
     hears_list(n, event.listings);
     node.events.push_back(std::move(event));
     settle(n);
-    if (scenario_.list_mode == "pushed") ask_list(n, true);
+    if (scenario_.list_mode == "pushed") {
+      ask_list(n, true);
+    }
   }
 
   double truth(const std::string& id) const {
     const auto& host = hosts_[numbers_.at(id)];
-    if (host.is != HostIs::up || host.draining || host.hangs > 0 || host.failing > 0) return 1e7;
+    if (host.is != HostIs::up || host.draining || host.hangs > 0 || host.failing > 0) {
+      return 1e7;
+    }
     return (host.model.load() + host.model.piled_s()) / std::max(host.model.capacity(), 1e-6) +
            (host.model.cold() ? 0.5 : 0);
   }
@@ -710,7 +889,9 @@
     Event& event = nodes_[n].events.emplace_back();
     event.kind = kind;
     event.id = id;
-    if (host != kNone) event.host = plan_.hosts[host].id;
+    if (host != kNone) {
+      event.host = plan_.hosts[host].id;
+    }
     return event;
   }
 
@@ -722,46 +903,61 @@
     }  // the outer turn goes on
     while (node.alive && !node.events.empty()) {
       const std::vector<Event> events = std::exchange(node.events, {});
-      for (const Action& action : node.policy->take(kEpoch + now_, events)) act(n, action);
+      for (const Action& action : node.policy->take(kEpoch + now_, events)) {
+        act(n, action);
+      }
     }
     --node.turns;
   }
 
   void act(Index n, const Action& action) {
     switch (action.kind) {
-      case ActionKind::setup_try: return begin_try(n, action);
+      case ActionKind::setup_try:
+        return begin_try(n, action);
       case ActionKind::cancel_try: {
         const auto asked = asks_.find(action.id);
-        if (asked != asks_.end() && clients_[asked->second].conn != kNone)
+        if (asked != asks_.end() && clients_[asked->second].conn != kNone) {
           end_conn(clients_[asked->second].conn, Outcome::cancelled, false);
+        }
         return;
       }
       case ActionKind::reject:
         return answer(n, action.id, Reply::busy, static_cast<double>(action.time / kMs));
-      case ActionKind::scrap: return answer(n, action.id, Reply::other, 0);
+      case ActionKind::scrap:
+        return answer(n, action.id, Reply::other, 0);
       case ActionKind::move: {
         const auto asked = asks_.find(action.id);
-        if (asked == asks_.end()) return;
+        if (asked == asks_.end()) {
+          return;
+        }
         const Index c = asked->second;
-        if (clients_[c].conn == kNone || conns_[clients_[c].conn].closed) return;
+        if (clients_[c].conn == kNone || conns_[clients_[c].conn].closed) {
+          return;
+        }
         const bool rude = fault_ == Fault::cuts_off;
         end_conn(clients_[c].conn, Outcome::cancelled, true);
         return client_cut(c, rude ? Ended::cut : Ended::moved,
                           hosts_[conns_[clients_[c].conn].host].is == HostIs::up);
       }
-      case ActionKind::probe: return probe(n, action.host);
+      case ActionKind::probe:
+        return probe(n, action.host);
       case ActionKind::set_alarm:
         return at(now_ + std::max<Tenths>(action.time, 1), Kind::node_alarm, n,
                   static_cast<Index>(action.number), nodes_[n].life);
-      case ActionKind::subscribe: return ask_list(n, true);
-      case ActionKind::fetch_list: return ask_list(n, false);
-      case ActionKind::log: return;
+      case ActionKind::subscribe:
+        return ask_list(n, true);
+      case ActionKind::fetch_list:
+        return ask_list(n, false);
+      case ActionKind::log:
+        return;
     }
   }
 
   void answer(Index n, const std::string& id, Reply reply, double told_ms) {
     const auto asked = asks_.find(id);
-    if (asked == asks_.end()) return;
+    if (asked == asks_.end()) {
+      return;
+    }
     const Index c = asked->second;
     release(id, n);
     say(c, reply, told_ms);
@@ -769,15 +965,20 @@
 
   void node_alarm(Index n, int number, int life) {
     Node& node = nodes_[n];
-    if (!node.alive || node.life != life) return;
+    if (!node.alive || node.life != life) {
+      return;
+    }
     tell(n, EventKind::alarm, "", kNone).number = number;
     settle(n);
   }
 
   void probe(Index n, const std::string& name) {
     const auto named = numbers_.find(name);
-    if (named == numbers_.end()) return;
-    const Index h = named->second, i = static_cast<Index>(probes_.size());
+    if (named == numbers_.end()) {
+      return;
+    }
+    const Index h = named->second;
+    const Index i = static_cast<Index>(probes_.size());
     probes_.push_back({n, h, nodes_[n].life, hosts_[h].life, now_});
     ++result_.probes;
     const Tenths one_way = way(nodes_[n], h);
@@ -785,19 +986,26 @@
     const bool reachable = hosts_[h].is != HostIs::vanished && !answers_lost(n, h);
     at(now_ + patience, Kind::probe_over, i, kNone,
        static_cast<int>(reachable ? Outcome::no_answer : Outcome::no_connection));
-    if (!reachable) return;
-    if (hosts_[h].is == HostIs::down)
+    if (!reachable) {
+      return;
+    }
+    if (hosts_[h].is == HostIs::down) {
       at(now_ + 2 * one_way, Kind::probe_over, i, kNone, static_cast<int>(Outcome::no_connection));
-    else at(now_ + one_way, Kind::probe_arrives, i);  // on a connection kept for it
+    } else {
+      at(now_ + one_way, Kind::probe_arrives, i);  // on a connection kept for it
+    }
   }
 
   void probe_arrives(Index i) {
     Probe& probe = probes_[i];
     Host& host = hosts_[probe.host];
-    if (probe.over || host.is != HostIs::up) return;
-    if (fixed_share(seed_, 0x9b0be + i) < host.failing)
+    if (probe.over || host.is != HostIs::up) {
+      return;
+    }
+    if (fixed_share(seed_, 0x9b0be + i) < host.failing) {
       return at(now_ + way(nodes_[probe.node], probe.host), Kind::probe_over, i, kNone,
                 static_cast<int>(Outcome::error));
+    }
     host.model.advance(now_);
     at(now_ + from_ms(host.model.probe_ms()) + way(nodes_[probe.node], probe.host), Kind::probe_over, i,
        kNone, static_cast<int>(Outcome::honoured));
@@ -805,12 +1013,15 @@
 
   void probe_over(Index i, Outcome outcome) {
     Probe& probe = probes_[i];
-    if (probe.over || (outcome == Outcome::honoured &&
-                       (answers_lost(probe.node, probe.host) || hosts_[probe.host].life != probe.host_life)))
+    if (probe.over || (outcome == Outcome::honoured && (answers_lost(probe.node, probe.host) ||
+                                                        hosts_[probe.host].life != probe.host_life))) {
       return;
+    }
     probe.over = true;
     Node& node = nodes_[probe.node];
-    if (!node.alive || node.life != probe.node_life) return;
+    if (!node.alive || node.life != probe.node_life) {
+      return;
+    }
     Event& event = tell(probe.node, EventKind::probe_ended, "", probe.host);
     event.outcome = outcome;
     event.took = now_ - probe.sent;
@@ -821,8 +1032,11 @@
 
   std::vector<Listing> listings() const {
     std::vector<Listing> out;
-    for (Index h = 0; h < hosts_.size(); ++h)
-      if (hosts_[h].listed) out.push_back(listing(h));
+    for (Index h = 0; h < hosts_.size(); ++h) {
+      if (hosts_[h].listed) {
+        out.push_back(listing(h));
+      }
+    }
     return out;
   }
   Listing listing(Index h) const {
@@ -833,56 +1047,76 @@
   }
 
   void hears_list(Index n, const std::vector<Listing>& list) {
-    for (const Listing& one : list)
+    for (const Listing& one : list) {
       audit_.told(static_cast<int>(n), static_cast<int>(numbers_.at(one.host)),
                   one.state != HostState::healthy, now_);
+    }
   }
 
   void ask_list(Index n, bool watch) {
     Node& node = nodes_[n];
     node.asked_list = now_;
-    if (watch && node.watches) return;
+    if (watch && node.watches) {
+      return;
+    }
     at(now_ + (list_down_ > 0 ? kListPatience : jittered(scenario_.list_call_ms)),
        list_down_ > 0 ? Kind::list_fails : Kind::list_comes, n, static_cast<Index>(node.life), watch);
   }
 
   void list_comes(Index n, int life, bool watch) {
     Node& node = nodes_[n];
-    if (!node.alive || node.life != life) return;
-    if (list_down_ > 0) return list_fails(n, life);
+    if (!node.alive || node.life != life) {
+      return;
+    }
+    if (list_down_ > 0) {
+      return list_fails(n, life);
+    }
     node.watches = node.watches || watch;
     Event& event = tell(n, EventKind::list_whole, "", kNone);
     event.listings = listings();
     hears_list(n, event.listings);
     // A host that is not named any more is gone.
-    for (Index h = 0; h < hosts_.size(); ++h)
-      if (!hosts_[h].listed) audit_.told(static_cast<int>(n), static_cast<int>(h), true, now_);
+    for (Index h = 0; h < hosts_.size(); ++h) {
+      if (!hosts_[h].listed) {
+        audit_.told(static_cast<int>(n), static_cast<int>(h), true, now_);
+      }
+    }
     settle(n);
   }
 
   void list_fails(Index n, int life) {
     Node& node = nodes_[n];
-    if (!node.alive || node.life != life) return;
+    if (!node.alive || node.life != life) {
+      return;
+    }
     node.watches = false;
     tell(n, EventKind::list_lost, "", kNone);
     settle(n);
-    if (scenario_.list_mode == "pushed" && list_down_ > 0)
+    if (scenario_.list_mode == "pushed" && list_down_ > 0) {
       at(now_ + kListPatience, Kind::list_comes, n, static_cast<Index>(life), 1);
+    }
   }
 
   // The service learns of a host's state and tells those that watch.
   void publish(Index h, int life, HostState state) {
     Host& host = hosts_[h];
-    if (host.life != life) return;  // it has changed again meanwhile
+    if (host.life != life) {
+      return;  // it has changed again meanwhile
+    }
     host.told = state;
     host.listed = state != HostState::gone;
-    if (list_down_ > 0) return;
+    if (list_down_ > 0) {
+      return;
+    }
     for (Index n = 0; n < nodes_.size(); ++n) {
-      if (!nodes_[n].alive) continue;
+      if (!nodes_[n].alive) {
+        continue;
+      }
       if (!nodes_[n].watches) {
-        if (state != HostState::healthy)
+        if (state != HostState::healthy) {
           at(std::max(now_, nodes_[n].asked_list + from_s(scenario_.ask_within_s)), Kind::list_counts, n, h,
              0);
+        }
         continue;
       }
       Event& event = tell(n, EventKind::list_changes, "", kNone);
@@ -892,8 +1126,9 @@
     }
   }
   void list_counts(Index n, Index h) {
-    if (hosts_[h].told != HostState::healthy && nodes_[n].alive)
+    if (hosts_[h].told != HostState::healthy && nodes_[n].alive) {
       audit_.told(static_cast<int>(n), static_cast<int>(h), true, now_);
+    }
   }
   void tell_list(Index h, HostState state, double after_s) {
     at(now_ + from_s(after_s + stale_s_), Kind::publish, h, static_cast<Index>(hosts_[h].life),
@@ -905,7 +1140,9 @@
   void trouble(Index i, bool begins) {
     const PlannedTrouble& planned = plan_.troubles[i];
     const Trouble& trouble = planned.trouble;
-    if (begins) at(now_ + from_s(trouble.for_s), Kind::trouble_ends, i);
+    if (begins) {
+      at(now_ + from_s(trouble.for_s), Kind::trouble_ends, i);
+    }
     const int by = begins ? 1 : -1;
     for (Index k = 0; k < planned.hosts.size(); ++k) {
       const Index h = static_cast<Index>(planned.hosts[k]);
@@ -913,33 +1150,55 @@
       host.model.advance(now_);
       switch (trouble.kind) {
         case Ill::silent:
-          if (begins && host.is == HostIs::up) host.is = HostIs::silent, host.since = now_;
-          else if (!begins && host.is == HostIs::silent) host.is = HostIs::up, host.turn = -1, wake(h);
+          if (begins && host.is == HostIs::up) {
+            host.is = HostIs::silent, host.since = now_;
+          } else if (!begins && host.is == HostIs::silent) {
+            host.is = HostIs::up, host.turn = -1, wake(h);
+          }
+          break;
+        case Ill::slow:
+          host.model.slowed *= begins ? trouble.size : 1 / trouble.size;
           break;
-        case Ill::slow: host.model.slowed *= begins ? trouble.size : 1 / trouble.size; break;
         case Ill::reset:
-        case Ill::failing: host.failing = begins ? trouble.size : 0; break;
-        case Ill::hang: host.hangs += by; break;
+        case Ill::failing:
+          host.failing = begins ? trouble.size : 0;
+          break;
+        case Ill::hang:
+          host.hangs += by;
+          break;
         case Ill::vanish:
-          if (begins) goes(h, HostIs::vanished, trouble.for_s, scenario_.list_silent_s);
+          if (begins) {
+            goes(h, HostIs::vanished, trouble.for_s, scenario_.list_silent_s);
+          }
           break;
         case Ill::restart:
-          if (begins) goes(h, HostIs::down, trouble.for_s, scenario_.list_late_s);
+          if (begins) {
+            goes(h, HostIs::down, trouble.for_s, scenario_.list_late_s);
+          }
           break;
         case Ill::drain:
-          if (begins) at(now_ + from_s(trouble.every_s * k), Kind::drain_next, i, h);
+          if (begins) {
+            at(now_ + from_s(trouble.every_s * k), Kind::drain_next, i, h);
+          }
           break;
         case Ill::neighbour:
-          if (begins) at(now_, Kind::neighbour_turns, i, kNone, 1);
+          if (begins) {
+            at(now_, Kind::neighbour_turns, i, kNone, 1);
+          }
+          break;
+        default:
           break;
-        default: break;
       }
       host.turn = -1;
-      if (host.is == HostIs::up) wake(h);
+      if (host.is == HostIs::up) {
+        wake(h);
+      }
     }
     for (const int number : planned.nodes) {
       const Index n = static_cast<Index>(number);
-      if (!begins || !nodes_[n].alive) continue;
+      if (!begins || !nodes_[n].alive) {
+        continue;
+      }
       if (trouble.kind == Ill::node_reload) {  // it asks for the whole list anew
         nodes_[n].watches = false;
         ask_list(n, true);
@@ -958,19 +1217,31 @@
         at(now_ + std::max(from_s(trouble.for_s), kNodeEnds + kTick), Kind::node_back, n);
       }
     }
-    const int from = zone_number(trouble.zone), to = zone_number(trouble.to);
+    const int from = zone_number(trouble.zone);
+    const int to = zone_number(trouble.to);
     switch (trouble.kind) {
-      case Ill::list_stale: stale_s_ += by * trouble.size; break;
+      case Ill::list_stale:
+        stale_s_ += by * trouble.size;
+        break;
       case Ill::list_down:
         list_down_ += by;
-        if (begins) list_goes();
+        if (begins) {
+          list_goes();
+        }
+        break;
+      case Ill::zone_cut:
+        cuts_[zone_pair(from, to)] += by, cuts_[zone_pair(to, from)] += by;
+        break;
+      case Ill::one_way:
+        one_ways_[zone_pair(from, to)] += by;
         break;
-      case Ill::zone_cut: cuts_[zone_pair(from, to)] += by, cuts_[zone_pair(to, from)] += by; break;
-      case Ill::one_way: one_ways_[zone_pair(from, to)] += by; break;
       case Ill::drop:
-        if (begins) drop_clients(i);
+        if (begins) {
+          drop_clients(i);
+        }
+        break;
+      default:
         break;
-      default: break;
     }
   }
   int zone_number(const std::string& zone) const {
@@ -986,9 +1257,13 @@
       host.model.advance(now_);
       host.model.taken = on && !over ? planned.trouble.size : 0;
       host.turn = -1;
-      if (host.is == HostIs::up) wake(static_cast<Index>(h));
+      if (host.is == HostIs::up) {
+        wake(static_cast<Index>(h));
+      }
+    }
+    if (over) {
+      return;
     }
-    if (over) return;
     const Tenths span =
         planned.trouble.every_s > 0 ? from_s(planned.trouble.every_s) : from_s(planned.trouble.for_s);
     at(now_ + span, Kind::neighbour_turns, i, kNone, on ? 0 : 1);
@@ -997,7 +1272,9 @@
   void drop_clients(Index i) {
     const Trouble& trouble = plan_.troubles[i].trouble;
     for (Index c = 0; c < clients_.size(); ++c) {
-      if (!clients_[c].standing || fixed_share(session(c).seed, 0xd409 + i) >= trouble.size) continue;
+      if (!clients_[c].standing || fixed_share(session(c).seed, 0xd409 + i) >= trouble.size) {
+        continue;
+      }
       audit_.ended(clients_[c].id, Ended::by_client, true, now_);
       close_standing(c, true);
       at(now_ + from_s(trouble.for_s * fixed_share(session(c).seed, 0xd509 + i)), Kind::client_comes, c);
@@ -1007,19 +1284,31 @@
   // A host's process or machine goes and comes back cold.
   void goes(Index h, HostIs how, double for_s, double noticed_s) {
     Host& host = hosts_[h];
-    if (host.is != HostIs::up && host.is != HostIs::silent) return;
+    if (host.is != HostIs::up && host.is != HostIs::silent) {
+      return;
+    }
     host.is = how, host.since = now_;
-    if (noticed_s < for_s) tell_list(h, HostState::gone, noticed_s);
-    if (how == HostIs::down) lose_all(h);
+    if (noticed_s < for_s) {
+      tell_list(h, HostState::gone, noticed_s);
+    }
+    if (how == HostIs::down) {
+      lose_all(h);
+    }
     at(now_ + from_s(for_s), Kind::host_back, h, kNone, host.life);
   }
   void lose_all(Index h) {
     Host& host = hosts_[h];
     const std::vector<Index> standing = host.standing;
-    for (const Index i : standing) host_ends(i, false);
+    for (const Index i : standing) {
+      host_ends(i, false);
+    }
     std::vector<Index> waiting;
-    for (const auto& [work, what] : host.works) waiting.push_back(what);
-    for (const Index what : waiting) host_ends(what, false);
+    for (const auto& [work, what] : host.works) {
+      waiting.push_back(what);
+    }
+    for (const Index what : waiting) {
+      host_ends(what, false);
+    }
     host.works.clear();
   }
   void falls(Index h) {
@@ -1029,7 +1318,9 @@
   }
   void host_back(Index h, int life) {
     Host& host = hosts_[h];
-    if (host.life != life || host.fallen) return;
+    if (host.life != life || host.fallen) {
+      return;
+    }
     lose_all(h);  // what a vanished machine held is reset now
     ++host.life;
     host.is = HostIs::up, host.draining = false, host.started = now_, host.turn = -1;
@@ -1042,23 +1333,31 @@
   void drains(Index i, Index h) {
     Host& host = hosts_[h];
     const Trouble& trouble = plan_.troubles[i].trouble;
-    if (host.is != HostIs::up) return;
+    if (host.is != HostIs::up) {
+      return;
+    }
     host.draining = true;
     host.pace = trouble.pace;
     tell_list(h, HostState::draining, scenario_.list_late_s);
-    if (host.pace != "none") at(now_ + from_s(scenario_.list_late_s), Kind::paced, h, kNone, host.life);
+    if (host.pace != "none") {
+      at(now_ + from_s(scenario_.list_late_s), Kind::paced, h, kNone, host.life);
+    }
     at(now_ + from_s(drain_lasts_s(trouble)), Kind::host_back, h, kNone, host.life);
   }
   void paced(Index h, int life) {
     Host& host = hosts_[h];
-    if (host.life != life || !host.draining || host.is != HostIs::up || host.standing.empty()) return;
+    if (host.life != life || !host.draining || host.is != HostIs::up || host.standing.empty()) {
+      return;
+    }
     const bool all = host.pace == "at_once";
     const auto part = static_cast<std::size_t>(
         std::ceil(static_cast<double>(host.standing.size()) * (all ? 1 : kPacedShare)));
     const std::vector<Index> now(host.standing.begin(),
                                  host.standing.begin() + static_cast<std::ptrdiff_t>(part));
     host.model.advance(now_);
-    for (const Index conn : now) host_ends(conn, true);
+    for (const Index conn : now) {
+      host_ends(conn, true);
+    }
     at(now_ + kPaced, Kind::paced, h, kNone, life);
   }
 
@@ -1074,23 +1373,33 @@
   void drop_node(Index n, Ended how) {
     for (Index i = 0; i < conns_.size(); ++i) {
       Conn& conn = conns_[i];
-      if (conn.node != n || conn.closed || conn.node_life != nodes_[n].life) continue;
+      if (conn.node != n || conn.closed || conn.node_life != nodes_[n].life) {
+        continue;
+      }
       conn.closed = true;
       at(now_ + way(nodes_[n], conn.host), Kind::host_hears_end, i);
-      if (!conn.hears && conn.number >= 0) client_cut(conn.client, how, hosts_[conn.host].is == HostIs::up);
+      if (!conn.hears && conn.number >= 0) {
+        client_cut(conn.client, how, hosts_[conn.host].is == HostIs::up);
+      }
     }
     for (Index c = 0; c < clients_.size(); ++c) {
       Client& client = clients_[c];
-      if (client.node != n || client.node_life != nodes_[n].life) continue;
+      if (client.node != n || client.node_life != nodes_[n].life) {
+        continue;
+      }
       asks_.erase(client.id);
-      if (!client.waiting || client.answered) continue;
+      if (!client.waiting || client.answered) {
+        continue;
+      }
       client.waiting = false;
       again(c, Reply::cut, 0);
     }
   }
   void node_ends(Index n, int life) {
     Node& node = nodes_[n];
-    if (!node.alive || node.life != life) return;
+    if (!node.alive || node.life != life) {
+      return;
+    }
     audit_.finish(now_);
     audit_.node_lost(static_cast<int>(n), now_);
     node.alive = node.watches = false;
@@ -1099,13 +1408,18 @@
     drop_node(n, Ended::cut);  // what it still held: not moved in time
   }
   void node_back(Index n) {
-    if (nodes_[n].alive) return;
+    if (nodes_[n].alive) {
+      return;
+    }
     begin_node(n);
     at(now_ + kNoNode, Kind::front_sees, n);
   }
   void list_goes() {
-    for (Index n = 0; n < nodes_.size(); ++n)
-      if (nodes_[n].alive && nodes_[n].watches) list_fails(n, nodes_[n].life);
+    for (Index n = 0; n < nodes_.size(); ++n) {
+      if (nodes_[n].alive && nodes_[n].watches) {
+        list_fails(n, nodes_[n].life);
+      }
+    }
   }
 
   // --- what is counted ---
@@ -1115,21 +1429,29 @@
     const bool counts = now_ <= end_;
     Second& here = result_.second(at_s);
     const double share = static_cast<double>(kTick) / kSecond;
-    double wanted = 0, served = 0, standing = 0;
-    for (std::size_t t = 0; t < types_; ++t) wanted += wanting_[t] * scenario_.traffic[t].value * share;
+    double wanted = 0;
+    double served = 0;
+    double standing = 0;
+    for (std::size_t t = 0; t < types_; ++t) {
+      wanted += wanting_[t] * scenario_.traffic[t].value * share;
+    }
     for (Index h = 0; h < hosts_.size(); ++h) {
       Host& host = hosts_[h];
       host.model.advance(now_);
       sheds(h);
-      for (std::size_t z = 0; z < zones_; ++z)
+      for (std::size_t z = 0; z < zones_; ++z) {
         for (std::size_t t = 0; t < types_; ++t) {
           const int count = host.served[z * types_ + t];
-          if (count == 0) continue;
+          if (count == 0) {
+            continue;
+          }
           standing += count;
           const bool heard = host.is == HostIs::up &&
                              !cuts_[zone_pair(plan_.hosts[h].zone, static_cast<int>(z))] &&
                              !one_ways_[zone_pair(plan_.hosts[h].zone, static_cast<int>(z))];
-          if (!heard) continue;
+          if (!heard) {
+            continue;
+          }
           const Traffic& type = scenario_.traffic[t];
           const double there =
               2 * (static_cast<int>(z) == plan_.hosts[h].zone ? scenario_.same_ms : scenario_.cross_ms);
@@ -1137,75 +1459,110 @@
           for (std::size_t q = 0; q < std::size(kQuantiles); ++q) {
             const double delay = there + host.model.delay_ms(kQuantiles[q]);
             here.message.add(delay, count * kQuantileWeights[q]);
-            if (counts) result_.message.add(delay, count * kQuantileWeights[q]);
+            if (counts) {
+              result_.message.add(delay, count * kQuantileWeights[q]);
+            }
           }
         }
+      }
     }
     connection_s_ += standing * share;
     here.wanted += wanted, here.served += served;
     here.standing = standing;
     if (here.open.empty() || now_ % kSecond == 0) {
       here.open.clear();
-      for (const Host& host : hosts_)
+      for (const Host& host : hosts_) {
         here.open.push_back(host.is == HostIs::down ? 0 : static_cast<int>(host.standing.size()));
+      }
+    }
+    if (counts && at_s >= scenario_.settle_s) {
+      result_.wanted += wanted, result_.served += served;
+    }
+    if (now_ < end_) {
+      at(now_ + kTick, Kind::tick);
+    }
+    if (fault_ == Fault::changes_bytes && now_ % kSecond == 0) {
+      spoil();
     }
-    if (counts && at_s >= scenario_.settle_s) result_.wanted += wanted, result_.served += served;
-    if (now_ < end_) at(now_ + kTick, Kind::tick);
-    if (fault_ == Fault::changes_bytes && now_ % kSecond == 0) spoil();
   }
   // The fault: one standing client's line comes back changed.
   void spoil() {
-    for (const Client& client : clients_)
-      if (client.standing) return audit_.bytes(client.id, false, now_);
+    for (const Client& client : clients_) {
+      if (client.standing) {
+        return audit_.bytes(client.id, false, now_);
+      }
+    }
   }
 
   void sheds(Index h) {
     Host& host = hosts_[h];
-    if (scenario_.sheds == "none" || host.is != HostIs::up) return;
-    for (int n = 0; n < 8 && host.model.piled_s() > scenario_.buffer_s && !host.standing.empty(); ++n)
+    if (scenario_.sheds == "none" || host.is != HostIs::up) {
+      return;
+    }
+    for (int n = 0; n < 8 && host.model.piled_s() > scenario_.buffer_s && !host.standing.empty(); ++n) {
       host_ends(host.standing.back(), false);
+    }
   }
 
   // What the real node measures by itself: slow messages by host, lines without an answer by connection.
   void tell_delays() {
     for (Host& host : hosts_) {
-      if (host.is != HostIs::up) continue;
+      if (host.is != HostIs::up) {
+        continue;
+      }
       host.probed.push_back(host.model.probe_ms());
-      if (host.probed.size() > kProbesKept) host.probed.pop_front();
+      if (host.probed.size() > kProbesKept) {
+        host.probed.pop_front();
+      }
     }
     for (Index n = 0; n < nodes_.size(); ++n) {
       Node& node = nodes_[n];
-      if (!node.alive) continue;
+      if (!node.alive) {
+        continue;
+      }
       for (Index h = 0; h < hosts_.size(); ++h) {
         const Host& host = hosts_[h];
-        if (host.is != HostIs::up || answers_lost(n, h)) continue;
+        if (host.is != HostIs::up || answers_lost(n, h)) {
+          continue;
+        }
         const double there = node.zone == plan_.hosts[h].zone ? 0 : 2 * scenario_.cross_ms;
         const double delay = std::max(host.model.delay_ms(0.5) + there, probed_delay(h));
         const bool slow = delay > shortest_goal_ * kToldAt && node.standing[h] > 0;
-        if (!slow && !node.slow[h]) continue;
+        if (!slow && !node.slow[h]) {
+          continue;
+        }
         node.slow[h] = slow;
         tell(n, EventKind::delay_told, "", h).figure = delay * kMs;
       }
       settle(n);
     }
-    for (Index h = 0; h < hosts_.size(); ++h)
+    for (Index h = 0; h < hosts_.size(); ++h) {
       for (const Index i : std::vector<Index>(hosts_[h].standing)) {
         const Conn& conn = conns_[i];
         const bool heard = hosts_[h].is == HostIs::up && !answers_lost(conn.node, h);
-        if (heard || conn.closed || conn.hears || !live(conn)) continue;
+        if (heard || conn.closed || conn.hears || !live(conn)) {
+          continue;
+        }
         const Tenths since = std::max({hosts_[h].since, conn.sent, cut_since(conn)});
         const Tenths span = (now_ - since) / kToldEvery * kToldEvery;
-        if (span <= 0) continue;
+        if (span <= 0) {
+          continue;
+        }
         tell(conn.node, EventKind::unanswered, id_of(session(conn.client), conn.attempt), h).figure =
             static_cast<double>(span);
         settle(conn.node);
       }
-    if (now_ < end_) at(now_ + kToldEvery, Kind::told);
+    }
+    if (now_ < end_) {
+      at(now_ + kToldEvery, Kind::told);
+    }
   }
   // As the node judges by what a probe takes over the least it has seen: docs/architecture.md.
   double probed_delay(Index h) const {
     const Host& host = hosts_[h];
-    if (host.probed.empty()) return 0;
+    if (host.probed.empty()) {
+      return 0;
+    }
     const double least = *std::min_element(host.probed.begin(), host.probed.end());
     const double waited = host.probed.back() - least;
     const double stretched = kOwnPart * shortest_goal_ * host.probed.back() / std::max(least, 1e-3);
@@ -1213,10 +1570,12 @@
   }
   Tenths cut_since(const Conn& conn) const {
     Tenths since = 0;
-    for (const PlannedTrouble& one : plan_.troubles)
+    for (const PlannedTrouble& one : plan_.troubles) {
       if ((one.trouble.kind == Ill::zone_cut || one.trouble.kind == Ill::one_way) &&
-          from_s(one.trouble.at_s) <= now_ && answers_lost(conn.node, conn.host))
+          from_s(one.trouble.at_s) <= now_ && answers_lost(conn.node, conn.host)) {
         since = std::max(since, from_s(one.trouble.at_s));
+      }
+    }
     return since;
   }
 
--- a/src/fleet/soak.cpp
+++ b/src/fleet/soak.cpp
@@ -25,10 +25,14 @@
 
 const char* word_of(Verdict verdict) {
   switch (verdict) {
-    case Verdict::kept: return "kept";
-    case Verdict::failed: return "FAILED";
-    case Verdict::not_valid: return "VOID";
-    case Verdict::broken: return "BROKEN";
+    case Verdict::kept:
+      return "kept";
+    case Verdict::failed:
+      return "FAILED";
+    case Verdict::not_valid:
+      return "VOID";
+    case Verdict::broken:
+      return "BROKEN";
   }
   return "?";
 }
@@ -48,11 +52,21 @@
   text += fmt::format("at_s = {:.2f}\nfor_s = {:.2f}\n", at,
                       stops ? std::min(kLeastStopS, kDurationS - at) : chance.between(0.3, 4));
   const bool of_hosts = std::find(std::begin(kOfHosts), std::end(kOfHosts), kind) != std::end(kOfHosts);
-  if (of_hosts) text += fmt::format("hosts = [{}]\n", chance.index(static_cast<std::size_t>(hosts)));
-  if (of_node) text += fmt::format("nodes = [{}]\n", chance.index(static_cast<std::size_t>(nodes)));
-  if (kind == "crowd") text += fmt::format("size = {}\n", 20 + chance.index(180));
-  if (kind == "reset" || kind == "failing") text += fmt::format("size = {:.2f}\n", chance.between(0.05, 0.9));
-  if (kind == "zone_cut" || kind == "one_way") text += "zone = \"a\"\nto = \"b\"\n";
+  if (of_hosts) {
+    text += fmt::format("hosts = [{}]\n", chance.index(static_cast<std::size_t>(hosts)));
+  }
+  if (of_node) {
+    text += fmt::format("nodes = [{}]\n", chance.index(static_cast<std::size_t>(nodes)));
+  }
+  if (kind == "crowd") {
+    text += fmt::format("size = {}\n", 20 + chance.index(180));
+  }
+  if (kind == "reset" || kind == "failing") {
+    text += fmt::format("size = {:.2f}\n", chance.between(0.05, 0.9));
+  }
+  if (kind == "zone_cut" || kind == "one_way") {
+    text += "zone = \"a\"\nto = \"b\"\n";
+  }
   return text;
 }
 
@@ -82,11 +96,17 @@
   told = fmt::format("asked {}, up {}, refused {}, failed {}, moved {}, service {:.3f}, troubles {}",
                      result.totals.asked, result.totals.honoured, result.totals.rejected,
                      result.totals.scrapped, result.moved, result.service(), scenario.troubles.size());
-  for (int rule = 0; rule < kRules; ++rule)
-    for (const Case& one : result.found[rule].first)
+  for (int rule = 0; rule < kRules; ++rule) {
+    for (const Case& one : result.found[rule].first) {
       told += fmt::format("\n    {} {} at {} ms: {}", kRuleNames[rule], one.id, one.when / kMs, one.what);
-  if (violations > 0) told += fmt::format("\n    {} violations in the nodes' own logs", violations);
-  if (!result.void_because.empty()) return told += ", " + result.void_because, Verdict::not_valid;
+    }
+  }
+  if (violations > 0) {
+    told += fmt::format("\n    {} violations in the nodes' own logs", violations);
+  }
+  if (!result.void_because.empty()) {
+    return told += ", " + result.void_because, Verdict::not_valid;
+  }
   return result.broken() || violations > 0 ? Verdict::broken : Verdict::kept;
 }
 
@@ -94,12 +114,16 @@
 pid_t start_seed(const Soak& soak, std::uint64_t seed, const std::string& folder) {
   std::cout.flush();
   const pid_t id = fork();
-  if (id != 0) return id;
+  if (id != 0) {
+    return id;
+  }
   Verdict verdict = Verdict::failed;
   std::string told;
   try {
     verdict = play(soak, seed, folder, told);
-  } catch (const std::exception& error) { told = error.what(); }
+  } catch (const std::exception& error) {
+    told = error.what();
+  }
   std::cout << fmt::format("seed {} {}: {}\n", seed, word_of(verdict), told) << std::flush;
   _exit(static_cast<int>(verdict));
 }
@@ -108,7 +132,8 @@
 
 std::string soak_scenario_text(std::uint64_t seed) {
   Stream chance(seed, "soak");
-  const int hosts = 6 + static_cast<int>(chance.index(7)), nodes = 4 + static_cast<int>(chance.index(13));
+  const int hosts = 6 + static_cast<int>(chance.index(7));
+  const int nodes = 4 + static_cast<int>(chance.index(13));
   const char* const effects[] = {"idempotent", "deduplicated", "unrepeatable"};
   const char* const groups[] = {"all", "zone", "cell"};
   const char* const modes[] = {"on_request", "pushed"};
@@ -121,11 +146,12 @@
       "[list]\nmode = \"{}\"\nlate_s = 0.3\n[rules]\ngrace_to_answer_ms = 450\nslack_ms = 200\n",
       seed, kDurationS, hosts, nodes, crowded ? 128 : 512, 60 + chance.index(120), 20 + chance.index(40),
       one_of(chance, modes));
-  for (const char* effect : effects)
+  for (const char* effect : effects) {
     text += fmt::format(
         "[[traffic]]\nname = \"{}\"\neffect = \"{}\"\nrepeat_group = \"{}\"\nrepeat_window_ms = {:.0f}\n"
         "expiry_ms = {:.0f}\nlatency_goal_ms = 400\nlife_s = 6\n",
         effect, effect, one_of(chance, groups), chance.between(600, 4000), chance.between(800, 3000));
+  }
   const char* const kinds[] = {"silent",      "slow",        "failing",        "hang",
                                "vanish",      "restart",     "drain",          "reset",
                                "reset",       "drop",        "burst",          "list_stale",
@@ -137,9 +163,13 @@
     taken.push_back(taken.back() + trouble_text(chance, one_of(chance, kinds), hosts, nodes));
     try {
       scenario_of(taken.back(), "soak");
-    } catch (const BadInput&) { taken.pop_back(); }  // two that stop the same process at one time
+    } catch (const BadInput&) {
+      taken.pop_back();
+    }  // two that stop the same process at one time
+  }
+  if (crowded) {
+    return taken.back() + trouble_text(chance, "crowd", hosts, nodes);
   }
-  if (crowded) return taken.back() + trouble_text(chance, "crowd", hosts, nodes);
   return taken.back();
 }
 
@@ -152,7 +182,9 @@
   const int socket_errors[] = {ENFILE, ENOBUFS, ENOMEM};
   const int read_errors[] = {EINTR, ENOBUFS, EAGAIN};
   for (int i = 0; i < 2; ++i) {
-    if (chance.share() < 0.4) continue;
+    if (chance.share() < 0.4) {
+      continue;
+    }
     // For a moment, at the start of a process or later.
     const auto from = chance.share() < 0.5 ? 0 : static_cast<int>(chance.between(0, 6000));
     const int until = from + static_cast<int>(chance.between(50, 800));
@@ -160,15 +192,27 @@
         fmt::format(",from_ms={},until_ms={},share={:.2f};", from, until, chance.between(0.1, 1));
     switch (chance.index(8)) {
       case 0:
-      case 1: text += fmt::format("connect,errno={}", one_of(chance, connect_errors)) + span; break;
-      case 2: text += fmt::format("accept4,errno={}", one_of(chance, accept_errors)) + span; break;
-      case 3: text += fmt::format("socket,errno={}", one_of(chance, socket_errors)) + span; break;
-      case 4: text += fmt::format("recv,errno={},share=0.2;", one_of(chance, read_errors)); break;
-      case 5: text += "send,short=1,share=0.5;recv,short=1,share=0.5;"; break;
+      case 1:
+        text += fmt::format("connect,errno={}", one_of(chance, connect_errors)) + span;
+        break;
+      case 2:
+        text += fmt::format("accept4,errno={}", one_of(chance, accept_errors)) + span;
+        break;
+      case 3:
+        text += fmt::format("socket,errno={}", one_of(chance, socket_errors)) + span;
+        break;
+      case 4:
+        text += fmt::format("recv,errno={},share=0.2;", one_of(chance, read_errors));
+        break;
+      case 5:
+        text += "send,short=1,share=0.5;recv,short=1,share=0.5;";
+        break;
       case 6:
         text += fmt::format("clock,step_ms={},from_ms={};", chance.share() < 0.5 ? -3600000 : 5000, from);
         break;
-      default: text += "poll,errno=4,share=0.1;send,delay_ms=150,share=0.001;"; break;
+      default:
+        text += "poll,errno=4,share=0.1;send,delay_ms=150,share=0.001;";
+        break;
     }
   }
   return text;
@@ -186,19 +230,26 @@
     while (next <= soak.last && running.size() < static_cast<std::size_t>(std::max(1, soak.jobs))) {
       std::filesystem::create_directories(folder_of(next));
       const pid_t id = start_seed(soak, next, folder_of(next));
-      if (id < 0) throw RunFailed("no process for a seed");
+      if (id < 0) {
+        throw RunFailed("no process for a seed");
+      }
       running[id] = next++;
     }
     int status = 0;
     const pid_t ended = waitpid(-1, &status, 0);
     const auto found = running.find(ended);
-    if (found == running.end()) continue;
+    if (found == running.end()) {
+      continue;
+    }
     const Verdict verdict = WIFEXITED(status) ? static_cast<Verdict>(WEXITSTATUS(status)) : Verdict::failed;
     ++counts[verdict];
     std::error_code ignored;
-    if (verdict != Verdict::kept) again += fmt::format(" {}", found->second);
-    if (verdict == Verdict::kept || soak.out.empty())
+    if (verdict != Verdict::kept) {
+      again += fmt::format(" {}", found->second);
+    }
+    if (verdict == Verdict::kept || soak.out.empty()) {
       std::filesystem::remove_all(folder_of(found->second), ignored);
+    }
     running.erase(found);
   }
   const int bad = counts[Verdict::failed] + counts[Verdict::broken];
--- a/src/fleet/sweep.cpp
+++ b/src/fleet/sweep.cpp
@@ -28,7 +28,9 @@
 constexpr const char* kFigures[] = {"service", "worst_10s", "rejected", "moved", "setup_p99_ms"};
 
 volatile std::sig_atomic_t interrupted = 0;
-void on_signal(int) { interrupted = 1; }
+void on_signal(int) {
+  interrupted = 1;
+}
 
 struct Cell {  // of the grid, but for the seed
   std::string name, policy;
@@ -52,19 +54,22 @@
   std::vector<Cell> cells{{"", "", {}, read_scenario(sweep.file)}};
   for (const auto& [name, values] : sweep.vary) {
     std::vector<Cell> more;
-    for (const Cell& cell : cells)
+    for (const Cell& cell : cells) {
       for (const std::string& value : values) {
         Cell& made = more.emplace_back(cell);
         vary(made.scenario, name, value);
         made.name += (made.name.empty() ? "" : ",") + name + "=" + value;
         made.values.emplace_back(name, value);
       }
+    }
     cells = std::move(more);
   }
   std::vector<Cell> out;
-  for (const Cell& cell : cells)
-    for (const std::string& policy : sweep.policies)
+  for (const Cell& cell : cells) {
+    for (const std::string& policy : sweep.policies) {
       out.push_back({cell.name, policy, cell.values, cell.scenario});
+    }
+  }
   return out;
 }
 
@@ -88,7 +93,9 @@
 
 int breaches(const nlohmann::json& report) {
   int sum = 0;
-  for (const auto& [rule, count] : report.at("rules").items()) sum += count.get<int>();
+  for (const auto& [rule, count] : report.at("rules").items()) {
+    sum += count.get<int>();
+  }
   return sum;
 }
 
@@ -101,7 +108,9 @@
 }  // namespace
 
 double middle(std::vector<double> values, double share) {
-  if (values.empty()) return 0;
+  if (values.empty()) {
+    return 0;
+  }
   std::sort(values.begin(), values.end());
   const double at = share * static_cast<double>(values.size() - 1);
   const auto low = static_cast<std::size_t>(at);
@@ -111,17 +120,24 @@
 
 Interval bootstrap(const std::vector<double>& differences, std::uint64_t seed) {
   Interval out;
-  if (differences.empty()) return out;
+  if (differences.empty()) {
+    return out;
+  }
   Stream chance(seed, "bootstrap");
   const auto mean = [](const std::vector<double>& of) {
     double sum = 0;
-    for (const double one : of) sum += one;
+    for (const double one : of) {
+      sum += one;
+    }
     return sum / static_cast<double>(of.size());
   };
   out.mean = mean(differences);
-  std::vector<double> means, drawn(differences.size());
+  std::vector<double> means;
+  std::vector<double> drawn(differences.size());
   for (int i = 0; i < kResamples; ++i) {
-    for (double& one : drawn) one = differences[chance.index(differences.size())];
+    for (double& one : drawn) {
+      one = differences[chance.index(differences.size())];
+    }
     means.push_back(mean(drawn));
   }
   out.low = middle(means, 0.025), out.high = middle(means, 0.975);
@@ -131,8 +147,11 @@
 std::vector<std::string> words_of(const std::string& text) {
   std::vector<std::string> out;
   std::istringstream in(text);
-  for (std::string one; std::getline(in, one, ',');)
-    if (!one.empty()) out.push_back(one);
+  for (std::string one; std::getline(in, one, ',');) {
+    if (!one.empty()) {
+      out.push_back(one);
+    }
+  }
   return out;
 }
 
@@ -140,41 +159,52 @@
   const std::size_t at = text.find('=');
   std::vector<std::string> values =
       at == std::string::npos ? std::vector<std::string>() : words_of(text.substr(at + 1));
-  if (values.empty()) throw BadInput("--vary:0:0: '" + text + "' has no values; expected NAME=V1,V2");
+  if (values.empty()) {
+    throw BadInput("--vary:0:0: '" + text + "' has no values; expected NAME=V1,V2");
+  }
   return {text.substr(0, at), std::move(values)};
 }
 
 std::pair<std::uint64_t, std::uint64_t> seeds_of(const std::string& text) {
   const std::size_t dots = text.find("..");
-  const std::string first = text.substr(0, dots),
-                    last = dots == std::string::npos ? first : text.substr(dots + 2);
+  const std::string first = text.substr(0, dots);
+  const std::string last = dots == std::string::npos ? first : text.substr(dots + 2);
   std::pair<std::uint64_t, std::uint64_t> out;
   const auto number = [&](const std::string& word, std::uint64_t& to) {
     const auto [end, fault] = std::from_chars(word.data(), word.data() + word.size(), to);
     return fault == std::errc() && end == word.data() + word.size();
   };
   if (!number(first, out.first) || !number(last, out.second) || out.second < out.first ||
-      out.second - out.first > 100000)
+      out.second - out.first > 100000) {
     throw BadInput("--seeds:0:0: '" + text + "' is no span; expected A..B with A no larger than B");
+  }
   return out;
 }
 
 int run_sweep(const Sweep& sweep) {
-  for (const std::string& policy : sweep.policies) check_policy(policy);
+  for (const std::string& policy : sweep.policies) {
+    check_policy(policy);
+  }
   const std::vector<Cell> cells = cells_of(sweep);
   check_folder(sweep.out);
-  for (const int number : {SIGINT, SIGTERM}) std::signal(number, on_signal);
+  for (const int number : {SIGINT, SIGTERM}) {
+    std::signal(number, on_signal);
+  }
   const std::string own = text_of("/proc/self/exe");
   const std::uint64_t program = XXH64(own.data(), own.size(), 0);
 
   std::vector<Job> jobs;
-  for (std::size_t c = 0; c < cells.size(); ++c)
-    for (std::uint64_t seed = sweep.first; seed <= sweep.last; ++seed)
+  for (std::size_t c = 0; c < cells.size(); ++c) {
+    for (std::uint64_t seed = sweep.first; seed <= sweep.last; ++seed) {
       jobs.push_back({c, seed,
                       fmt::format("{}/{}{}{}/seed-{}", sweep.out, cells[c].name,
                                   cells[c].name.empty() ? "" : ",", cells[c].policy, seed)});
+    }
+  }
   std::vector<nlohmann::json> reports(jobs.size());
-  std::atomic<std::size_t> next = 0, done = 0, reused = 0;
+  std::atomic<std::size_t> next = 0;
+  std::atomic<std::size_t> done = 0;
+  std::atomic<std::size_t> reused = 0;
   std::mutex guard;
   std::string fault;
   const auto work = [&] {
@@ -184,8 +214,9 @@
       try {
         const std::string mark = mark_of(sweep, cell, job.seed, program);
         reports[i] = kept(job, mark);
-        if (reports[i].is_object()) ++reused;
-        else {
+        if (reports[i].is_object()) {
+          ++reused;
+        } else {
           const Result result = simulate(cell.scenario, job.seed, cell.policy);
           write_result(result, job.folder);
           // Danger: a run that was interrupted while it wrote is taken for a whole one. The mark comes last.
@@ -207,9 +238,15 @@
   const int count =
       sweep.jobs > 0 ? sweep.jobs : std::max(1, static_cast<int>(std::thread::hardware_concurrency()));
   std::vector<std::thread> threads;
-  for (int i = 0; i < count; ++i) threads.emplace_back(work);
-  for (std::thread& one : threads) one.join();
-  if (!fault.empty()) throw BadInput(fault);
+  for (int i = 0; i < count; ++i) {
+    threads.emplace_back(work);
+  }
+  for (std::thread& one : threads) {
+    one.join();
+  }
+  if (!fault.empty()) {
+    throw BadInput(fault);
+  }
   if (interrupted) {
     std::cerr << "dapplewharf_fleet: interrupted with " << done << " of " << jobs.size()
               << " runs done; the same command goes on from there\n";
@@ -218,7 +255,9 @@
 
   nlohmann::json rows = nlohmann::json::array();
   std::map<std::size_t, std::vector<const nlohmann::json*>> by_cell;
-  for (std::size_t i = 0; i < jobs.size(); ++i) by_cell[jobs[i].cell].push_back(&reports[i]);
+  for (std::size_t i = 0; i < jobs.size(); ++i) {
+    by_cell[jobs[i].cell].push_back(&reports[i]);
+  }
   int broken = 0;
   std::ostringstream out;
   out << fmt::format("{:<44} {:>9} {:>17} {:>9} {:>9} {:>7}  {}\n", "values and policy", "service",
@@ -227,17 +266,22 @@
   for (std::size_t c = 0; c < cells.size(); ++c) {
     nlohmann::json row = {
         {"policy", cells[c].policy}, {"runs", by_cell[c].size()}, {"values", nlohmann::json::object()}};
-    for (const auto& [name, value] : cells[c].values) row["values"][name] = value;
+    for (const auto& [name, value] : cells[c].values) {
+      row["values"][name] = value;
+    }
     std::map<std::string, std::vector<double>> all;
     int here = 0;
     for (const nlohmann::json* report : by_cell[c]) {
-      for (const char* name : kFigures) all[name].push_back(figure(*report, name));
+      for (const char* name : kFigures) {
+        all[name].push_back(figure(*report, name));
+      }
       here += breaches(*report);
     }
-    for (const char* name : kFigures)
+    for (const char* name : kFigures) {
       row[name] = {{"median", middle(all[name], 0.5)},
                    {"p10", middle(all[name], 0.1)},
                    {"p90", middle(all[name], 0.9)}};
+    }
     broken += here;
     row["broken"] = here;
     // Against the first policy at the same values, or, for that one, against the first values.
@@ -246,8 +290,9 @@
     std::string paired = "-";
     if (base != c) {
       std::vector<double> differences;
-      for (std::size_t i = 0; i < by_cell[c].size(); ++i)
+      for (std::size_t i = 0; i < by_cell[c].size(); ++i) {
         differences.push_back(figure(*by_cell[c][i], "service") - figure(*by_cell[base][i], "service"));
+      }
       const Interval interval = bootstrap(differences, 1);
       row["paired"] = {
           {"against", (cells[base].name.empty() ? "" : cells[base].name + " ") + cells[base].policy},
@@ -267,9 +312,11 @@
                                   {"seeds", {sweep.first, sweep.last}},
                                   {"rows", rows}};
   write_file(sweep.out + "/summary.json", summary.dump(2) + "\n");
-  if (sweep.json) std::cout << summary.dump(2) << "\n";
-  else
+  if (sweep.json) {
+    std::cout << summary.dump(2) << "\n";
+  } else {
     std::cout << out.str() << jobs.size() << " runs, " << reused << " of them kept from before; simulated\n";
+  }
   return broken > 0 ? 3 : 0;
 }
 
--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -19,11 +19,14 @@
 
 std::string told(const json& from, Source source, const char* variable, const char* name) {
   const char* value = source == Source::environment_first ? std::getenv(variable) : nullptr;
-  if (value && *value) return value;
-  if (!from.contains(name) || !from[name].is_string())
+  if (value && *value) {
+    return value;
+  }
+  if (!from.contains(name) || !from[name].is_string()) {
     throw std::runtime_error(
         "the configuration has no '" + std::string(name) + "'" +
         (source == Source::environment_first ? ", nor is " + std::string(variable) + " set" : ""));
+  }
   return from[name].get<std::string>();
 }
 
@@ -33,13 +36,21 @@
 };
 
 json platform_file(const std::string& path) {
-  if (path.empty()) throw std::runtime_error("PROXY_CONFIG is not set");
+  if (path.empty()) {
+    throw std::runtime_error("PROXY_CONFIG is not set");
+  }
   std::ifstream file(path);
-  if (!file) throw Unreadable("PROXY_CONFIG cannot be read: " + path);
+  if (!file) {
+    throw Unreadable("PROXY_CONFIG cannot be read: " + path);
+  }
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  if (file.bad()) throw Unreadable("PROXY_CONFIG cannot be read: " + path);
+  if (file.bad()) {
+    throw Unreadable("PROXY_CONFIG cannot be read: " + path);
+  }
   json from = json::parse(text, nullptr, false);
-  if (!from.is_object()) throw std::runtime_error("PROXY_CONFIG is no JSON object: " + path);
+  if (!from.is_object()) {
+    throw std::runtime_error("PROXY_CONFIG is no JSON object: " + path);
+  }
   return from;
 }
 
@@ -47,9 +58,11 @@
 std::string place_of(const std::string& path, const std::string& words) {
   std::ifstream file(path);
   std::string line;
-  for (int number = 1; std::getline(file, line); ++number)
-    if (const std::size_t at = line.find(words); at != std::string::npos)
+  for (int number = 1; std::getline(file, line); ++number) {
+    if (const std::size_t at = line.find(words); at != std::string::npos) {
       return path + ":" + std::to_string(number) + ":" + std::to_string(at + 1) + ": ";
+    }
+  }
   return "";
 }
 
@@ -58,18 +71,23 @@
   const json guarantees = from.value("/settings/guarantees"_json_pointer, json::object());
   const char* const names[] = {"extraFloor", "repeatRatio", "countedOverMs"};
   for (const char* name : names) {
-    if (!guarantees.is_object() || !guarantees.contains(name)) continue;
+    if (!guarantees.is_object() || !guarantees.contains(name)) {
+      continue;
+    }
     const json& value = guarantees[name];
     const bool span = std::string(name) == "countedOverMs";
     std::string begin = name;
     begin = place_of(path, '"' + begin + '"').append("'").append(begin).append("' ");
-    if (!value.is_number() || value.get<double>() < 0 || (span && value.get<double>() < 1))
+    if (!value.is_number() || value.get<double>() < 0 || (span && value.get<double>() < 1)) {
       throw std::runtime_error(begin + "is " + value.dump() + "; expected a number" +
                                (span ? " of milliseconds, 1 at the least" : ", not below 0"));
-    for (const char* other : names)
-      if (!guarantees.contains(other))
+    }
+    for (const char* other : names) {
+      if (!guarantees.contains(other)) {
         throw std::runtime_error(begin + "stands without '" + other +
                                  "'; expected all three that ration further tries, or none");
+      }
+    }
   }
 }
 
@@ -77,17 +95,20 @@
 // not; a meaning of weights that is none would be taken for another.
 void settings_hold(const json& from, const std::string& path) {
   const json weights = from.value("/settings/weights"_json_pointer, json("nominal"));
-  if (weights != "silent" && weights != "nominal" && weights != "rough" && weights != "live")
+  if (weights != "silent" && weights != "nominal" && weights != "rough" && weights != "live") {
     throw std::runtime_error(place_of(path, "\"weights\"") + "'weights' is " + weights.dump() +
                              "; expected silent, nominal, rough or live");
+  }
   const json price = from.value("/settings/charges/probe"_json_pointer, json(0));
-  if (!price.is_number() || price.get<double>() < 0)
+  if (!price.is_number() || price.get<double>() < 0) {
     throw std::runtime_error(place_of(path, "\"probe\"") + "'probe' is " + price.dump() +
                              "; expected a number of points, not below 0");
+  }
   const json flag = from.value("/settings/guarantees/drainBindsAlone"_json_pointer, json(false));
-  if (!flag.is_boolean())
+  if (!flag.is_boolean()) {
     throw std::runtime_error(place_of(path, "\"drainBindsAlone\"") + "'drainBindsAlone' is " + flag.dump() +
                              "; expected true or false");
+  }
   budget_holds(from, path);
 }
 
@@ -96,9 +117,14 @@
   sidecar::Document document = sidecar::load(path, use);
   std::size_t errors = 0;
   const sidecar::Fault* first = nullptr;
-  for (const sidecar::Fault& fault : document.faults)
-    if (!fault.warning && errors++ == 0) first = &fault;
-  if (!first) return document;
+  for (const sidecar::Fault& fault : document.faults) {
+    if (!fault.warning && errors++ == 0) {
+      first = &fault;
+    }
+  }
+  if (!first) {
+    return document;
+  }
   throw std::runtime_error(
       sidecar::told(document, *first, false) +
       (errors > 1 ? " (and " + std::to_string(errors - 1) + " more; --check tells all)" : ""));
@@ -106,13 +132,17 @@
 
 void take_log(const sidecar::Document& document, LogSettings& to) {
   const sidecar::Block* log = document.find("log");
-  if (log) to = {log->word("format") == "json", log->word("level"), log->word("decisions")};
+  if (log) {
+    to = {log->word("format") == "json", log->word("level"), log->word("decisions")};
+  }
 }
 
 // The settings of another shape, to be watched: of a file in the language or of one like the platform's.
 json shadow_settings(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error(path + ":0:0: the settings to watch cannot be read; expected a file");
+  if (!file) {
+    throw std::runtime_error(path + ":0:0: the settings to watch cannot be read; expected a file");
+  }
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   const std::size_t first = text.find_first_not_of(" \t\r\n");
   json from;
@@ -130,8 +160,9 @@
     }
     settings_hold(from, path);
   }
-  if (!from.contains("settings") || !from["settings"].is_object())
+  if (!from.contains("settings") || !from["settings"].is_object()) {
     throw std::runtime_error(path + ":1:1: there are no 'settings'; expected an object of that name");
+  }
   try {
     Choice(settings_of(from["settings"]), 0, 0);
   } catch (const std::exception& error) {
@@ -145,10 +176,15 @@
   to.name = told(from, source, "PROXY_NAME", "name");
   to.listen = told(from, source, "PROXY_LISTEN", "listen");
   to.discovery = told(from, source, "PROXY_DISCOVERY", "discovery");
-  if (!address_of(to.listen)) throw std::runtime_error("'listen' is no address: " + to.listen);
-  if (!address_of(to.discovery)) throw std::runtime_error("'discovery' is no address: " + to.discovery);
-  if (!from.contains("settings") || !from["settings"].is_object())
+  if (!address_of(to.listen)) {
+    throw std::runtime_error("'listen' is no address: " + to.listen);
+  }
+  if (!address_of(to.discovery)) {
+    throw std::runtime_error("'discovery' is no address: " + to.discovery);
+  }
+  if (!from.contains("settings") || !from["settings"].is_object()) {
     throw std::runtime_error("the configuration has no 'settings'");
+  }
   to.env = from["settings"];
   // Danger: settings that lack a rule would be found out only by the attachments that break it.
   try {
@@ -159,23 +195,29 @@
   const std::string seed =
       from.contains("seed") && from["seed"].is_string() ? from["seed"].get<std::string>() : "";
   const auto [end, fault] = std::from_chars(seed.data(), seed.data() + seed.size(), to.seed, 16);
-  if (fault != std::errc() || end != seed.data() + seed.size())
+  if (fault != std::errc() || end != seed.data() + seed.size()) {
     throw std::runtime_error("the configuration has no hexadecimal 'seed'");
-  if (from.contains("known")) to.known = from["known"];
+  }
+  if (from.contains("known")) {
+    to.known = from["known"];
+  }
   const json sockets = from.value("/limits/sockets"_json_pointer, json(1024));
-  if (!sockets.is_number() || sockets.get<double>() < 4 * kKeptBack || sockets.get<double>() > 1e7)
+  if (!sockets.is_number() || sockets.get<double>() < 4 * kKeptBack || sockets.get<double>() > 1e7) {
     throw std::runtime_error("'limits.sockets' is no number or too small to serve");
+  }
   to.descriptors = sockets.get<int>();
   const json memory = from.value("/limits/memory_mb"_json_pointer, json(to.memory_mb));
-  if (!memory.is_number() || memory.get<double>() < 1 || memory.get<double>() > 1e7)
+  if (!memory.is_number() || memory.get<double>() < 1 || memory.get<double>() > 1e7) {
     throw std::runtime_error("'limits.memory_mb' is no number or too small to serve");
+  }
   to.memory_mb = memory.get<double>();
   // Words between nodes are a help, no need: what is missing or odd there leaves the node alone, and serving.
   if (to.env.value("/bounds/peerMessages"_json_pointer, json(false)) == true && from.contains("peers") &&
       from["peers"].is_array() && from.contains("peer_listen") && from["peer_listen"].is_string()) {
     to.peers.listen = from["peer_listen"].get<std::string>();
-    for (const json& peer : from["peers"])
+    for (const json& peer : from["peers"]) {
       to.peers.peers.push_back(peer.is_string() ? peer.get<std::string>() : "");
+    }
     to.peers.me = to.env.contains("me") && to.env["me"].is_number() ? to.env["me"].get<int>() : -1;
   }
   return to;
@@ -187,8 +229,9 @@
   try {
     LogSettings log;
     json from;
-    if (files.language.empty()) from = platform_file(files.json), settings_hold(from, files.json);
-    else {
+    if (files.language.empty()) {
+      from = platform_file(files.json), settings_hold(from, files.json);
+    } else {
       const sidecar::Document document = good_one(files.language, sidecar::Use::sidecar);
       from = sidecar::render(document);
       take_log(document, log);
@@ -199,15 +242,21 @@
       const sidecar::Document document = good_one(files.operators, sidecar::Use::operators);
       take_log(document, log);
       const sidecar::Block* block = document.find("shadow");
-      if (block && shadow.empty()) shadow = block->word("settings");
+      if (block && shadow.empty()) {
+        shadow = block->word("settings");
+      }
     }
     Read read{checked(from, source), ""};
-    if (!shadow.empty()) read.taken->shadow = shadow_settings(shadow);
+    if (!shadow.empty()) {
+      read.taken->shadow = shadow_settings(shadow);
+    }
     read.taken->log = log;
     return read;
   } catch (const Unreadable& error) {
     return {std::nullopt, error.what(), true};
-  } catch (const std::exception& error) { return {std::nullopt, error.what()}; }
+  } catch (const std::exception& error) {
+    return {std::nullopt, error.what()};
+  }
 }
 
 Read read_configuration(const std::string& json_path, Source source) {
@@ -218,9 +267,13 @@
   std::string out;
   for (const auto& [path, use] : {std::pair(files.language, sidecar::Use::sidecar),
                                   std::pair(files.operators, sidecar::Use::operators)}) {
-    if (path.empty()) continue;
+    if (path.empty()) {
+      continue;
+    }
     const sidecar::Document document = sidecar::load(path, use);
-    for (const sidecar::Fault& fault : document.faults) out += sidecar::told(document, fault, true) + "\n";
+    for (const sidecar::Fault& fault : document.faults) {
+      out += sidecar::told(document, fault, true) + "\n";
+    }
   }
   return out;
 }
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -26,24 +26,31 @@
 constexpr Tenths kAgain = 200 * kMs;          // at most, between calls while something counts as told soon
 
 HostState state_of(const std::string& word) {
-  if (word == "up") return HostState::healthy;
+  if (word == "up") {
+    return HostState::healthy;
+  }
   return word == "draining" ? HostState::draining : HostState::gone;  // danger: new work on an unknown word
 }
 
 template <class Value>
 Value field(const json& from, const char* name, Value otherwise) {
   const auto found = from.find(name);
-  if (found == from.end() || found->is_null()) return otherwise;
+  if (found == from.end() || found->is_null()) {
+    return otherwise;
+  }
   return found->get<Value>();
 }
 
 }  // namespace
 
 Tenths Starts::place(const std::string& host, double unix_ms, Tenths now, Tenths unix_now) {
-  if (!(unix_ms > 0)) return 0;
+  if (!(unix_ms > 0)) {
+    return 0;
+  }
   const auto [at, fresh] = known_.try_emplace(host, -1, 0);
-  if (at->second.first != unix_ms)
+  if (at->second.first != unix_ms) {
     at->second = {unix_ms, std::max<Tenths>(tenths_down(unix_ms) + now - unix_now, 1)};
+  }
   return at->second.second;
 }
 
@@ -61,7 +68,9 @@
     listing.size = field<double>(entry, "weight", 1);
     listing.started = starts.place(listing.host, field<double>(entry, "startedAtMs", 0), now, unix_now);
     const auto address = field<std::string>(entry, "hostPort", "");
-    if (!address.empty()) to.addresses[listing.host] = address;
+    if (!address.empty()) {
+      to.addresses[listing.host] = address;
+    }
     to.listings.push_back(std::move(listing));
   }
   return to;
@@ -90,7 +99,9 @@
 // out a drain, so nothing but a whole list will do until one has come. A call that is out is no loss: the
 // module keeps its list and its weights, and the watch goes on at the new place by itself.
 void Discovery::move_to(const std::string& address) {
-  if (address == address_) return;
+  if (address == address_) {
+    return;
+  }
   address_ = address;
   hang_up();
   loop_.cancel(deadline_);
@@ -101,9 +112,15 @@
 }
 
 void Discovery::next() {
-  if (out_) return;
-  if (fetching_ || (watching_ && anew_)) return call("/api/targets", false);
-  if (!watching_) return;
+  if (out_) {
+    return;
+  }
+  if (fetching_ || (watching_ && anew_)) {
+    return call("/api/targets", false);
+  }
+  if (!watching_) {
+    return;
+  }
   call("/api/targets?after=" + std::to_string(version_) + "&wait_ms=" + std::to_string(kWait / kMs), true);
 }
 
@@ -118,10 +135,14 @@
   sent_ = 0;
   in_.clear();
   loop_.at(deadline_, loop_.now() + patience, [this, waits] {
-    if (waits) owed_by_ = called_at_ + kToldUnheard, hung_ = hung_now_ = true;
+    if (waits) {
+      owed_by_ = called_at_ + kToldUnheard, hung_ = hung_now_ = true;
+    }
     broken(false);
   });
-  if (!socket_) return dial_out();
+  if (!socket_) {
+    return dial_out();
+  }
   loop_.want(watched_, POLLIN | POLLOUT);
   ready();
 }
@@ -140,23 +161,37 @@
 
 void Discovery::ready() {
   if (!connected_) {
-    if (!socket_.connected()) return broken(false);
+    if (!socket_.connected()) {
+      return broken(false);
+    }
     connected_ = true;
   }
   if (out_ && sent_ < request_.size()) {
     const auto given = socket_.send(request_.data() + sent_, request_.size() - sent_);
-    if (!given) return broken(stale_);
+    if (!given) {
+      return broken(stale_);
+    }
     sent_ += *given;
   }
   loop_.want(watched_, sent_ < request_.size() && out_ ? POLLIN | POLLOUT : POLLIN);
   bool ended = false;
   const auto got = socket_.receive(in_, 64 * 1024, ended);
-  if (!got) return broken(stale_ && in_.empty());
-  if (!out_) return ended || *got > 0 ? hang_up() : void();  // nothing was asked for
-  if (ended && in_.empty()) return broken(stale_);
-  if (*got == 0 && !ended) return;
+  if (!got) {
+    return broken(stale_ && in_.empty());
+  }
+  if (!out_) {
+    return ended || *got > 0 ? hang_up() : void();  // nothing was asked for
+  }
+  if (ended && in_.empty()) {
+    return broken(stale_);
+  }
+  if (*got == 0 && !ended) {
+    return;
+  }
   const Answer answer = answer_of(in_, ended, limits_.list_bytes);
-  if (answer.state == Answer::State::more) return;
+  if (answer.state == Answer::State::more) {
+    return;
+  }
   if (answer.state == Answer::State::bad || answer.status != 200) {
     spdlog::warn("discovery answered {}",
                  answer.state == Answer::State::bad ? "no HTTP" : "status " + std::to_string(answer.status));
@@ -175,21 +210,29 @@
   }
   out_ = false;
   loop_.cancel(deadline_);
-  if (closes) hang_up();
+  if (closes) {
+    hang_up();
+  }
   spdlog::debug("discovery told version {}, hosts {}, after ms {}", list.version, list.listings.size(),
                 (loop_.now() - called_at_) / kMs);
   const bool news = list.version != version_;
   // Danger: a service that counts anew tells changes since its own beginning only; what came before is
   // missed.
-  if (!list.whole && list.version < version_) anew_ = true;
+  if (!list.whole && list.version < version_) {
+    anew_ = true;
+  }
   version_ = list.version;
-  if (list.whole) fetching_ = anew_ = false;
+  if (list.whole) {
+    fetching_ = anew_ = false;
+  }
   owed_by_ = 0, hung_ = false;
   ++counters_.lists;
   // Danger: a service that answers without waiting would be asked without end.
-  if (!news && loop_.now() - called_at_ < kPause)
+  if (!news && loop_.now() - called_at_ < kPause) {
     loop_.at(deadline_, loop_.now() + kPause, [this] { next(); });
-  else next();  // first: a watch goes on only if its next call comes soon
+  } else {
+    next();  // first: a watch goes on only if its next call comes soon
+  }
   heard_.listed(list);
 }
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -59,14 +59,19 @@
   }
   const char* variable = std::getenv("PROXY_CONFIG");
   out.files.json = variable ? variable : "";
-  if (!only_check) return out;
+  if (!only_check) {
+    return out;
+  }
   const std::string told = told_whole(out.files);
   std::cerr << told;
   const Read read = read_configuration(out.files, Source::environment_first);
   // What is no file in the language is not among those: the platform's JSON, and settings to watch.
-  if (!read.taken && told.find(read.fault.substr(0, read.fault.find(": "))) == std::string::npos)
+  if (!read.taken && told.find(read.fault.substr(0, read.fault.find(": "))) == std::string::npos) {
     std::cerr << "dapplewharf: " << read.fault << std::endl;
-  if (read.taken) std::cout << "the configuration is good" << std::endl;
+  }
+  if (read.taken) {
+    std::cout << "the configuration is good" << std::endl;
+  }
   out.code = read.taken ? 0 : 2;
   return out;
 }
@@ -75,18 +80,26 @@
 
 int main(int count, char** words) {
   const Asked asked = asked_of(count, words);
-  if (asked.code) return *asked.code;
+  if (asked.code) {
+    return *asked.code;
+  }
   open_log();
   try {
     for (int i = 1; pipe2(signal_pipe, O_NONBLOCK | O_CLOEXEC) != 0; ++i) {
-      if (i == kPipeTries) throw std::runtime_error("no pipe for signals");
+      if (i == kPipeTries) {
+        throw std::runtime_error("no pipe for signals");
+      }
       usleep(kPipeWaitUs);  // danger: a system short of descriptors for a moment would refuse the start
     }
     // Danger: a SIGHUP that comes before the node is ready would end it.
-    for (const int number : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) std::signal(number, on_signal);
+    for (const int number : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) {
+      std::signal(number, on_signal);
+    }
     std::signal(SIGPIPE, SIG_IGN);
     Read first = read_at_start(asked.files);
-    if (!first.taken) throw std::runtime_error(first.fault);
+    if (!first.taken) {
+      throw std::runtime_error(first.fault);
+    }
     first.taken->descriptors = descriptor_limit(first.taken->descriptors);
     set_log(first.taken->log);
     Loop loop;
@@ -96,13 +109,22 @@
       char bytes[64];
       const ssize_t got = read(signal_pipe[0], bytes, sizeof bytes);
       bool anew = false;  // however many came: the file as it is now is what counts
-      for (ssize_t i = 0; i < got; ++i)
-        if (bytes[i] == SIGUSR1) node.report();
-        else if (bytes[i] == SIGHUP) anew = true;
-        else node.stop();
-      if (anew) reloader.reload();
+      for (ssize_t i = 0; i < got; ++i) {
+        if (bytes[i] == SIGUSR1) {
+          node.report();
+        } else if (bytes[i] == SIGHUP) {
+          anew = true;
+        } else {
+          node.stop();
+        }
+      }
+      if (anew) {
+        reloader.reload();
+      }
     });
-    if (const auto fault = node.start()) throw std::runtime_error("'listen' cannot be used: " + *fault);
+    if (const auto fault = node.start()) {
+      throw std::runtime_error("'listen' cannot be used: " + *fault);
+    }
     spdlog::info("started");
     while (!node.done()) {
       loop.turn(kSecond);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -31,17 +31,23 @@
 // bytes.
 constexpr double kListPart = 32;
 
-std::string id_of(Ticket ticket) { return std::to_string(ticket.slot) + "." + std::to_string(ticket.life); }
+std::string id_of(Ticket ticket) {
+  return std::to_string(ticket.slot) + "." + std::to_string(ticket.life);
+}
 
 }  // namespace
 
 void Meter::probed(Tenths now, Tenths took) {
   probes_.emplace_back(now, took);
-  while (now - probes_.front().first >= kLeastHolds) probes_.pop_front();
+  while (now - probes_.front().first >= kLeastHolds) {
+    probes_.pop_front();
+  }
 }
 
 std::optional<Tenths> Meter::least() const {
-  if (probes_.empty()) return std::nullopt;
+  if (probes_.empty()) {
+    return std::nullopt;
+  }
   const auto shorter = [](const auto& a, const auto& b) { return a.second < b.second; };
   return std::min_element(probes_.begin(), probes_.end(), shorter)->second;
 }
@@ -50,11 +56,18 @@
 std::optional<Tenths> Meter::tell(Tenths now, Tenths goal, const std::vector<Tenths>& unanswered,
                                   Tenths at_rest) {
   const Tenths limit = goal / 3;
-  while (!lines_.empty() && now - lines_.front().first >= kMeterSpan) lines_.pop_front();
+  while (!lines_.empty() && now - lines_.front().first >= kMeterSpan) {
+    lines_.pop_front();
+  }
   std::vector<Tenths> delays;
-  for (const Tenths age : unanswered)
-    if (age > limit) delays.push_back(age);  // younger ones say nothing yet
-  for (const auto& [when, delay] : lines_) delays.push_back(delay);
+  for (const Tenths age : unanswered) {
+    if (age > limit) {
+      delays.push_back(age);  // younger ones say nothing yet
+    }
+  }
+  for (const auto& [when, delay] : lines_) {
+    delays.push_back(delay);
+  }
   std::optional<Tenths> delay;
   if (!delays.empty()) {
     const auto middle = delays.begin() + static_cast<std::ptrdiff_t>(delays.size() / 2);
@@ -66,43 +79,59 @@
     const Tenths own = std::max<Tenths>(*this->least(), 1);
     // One probe alone may have come amid the set-ups of a start.
     const Tenths least = at_rest > 0 && probes_.size() > 1 ? std::min(own, at_rest) : own;
-    const Tenths last = probes_.back().second, waited = last - least;
+    const Tenths last = probes_.back().second;
+    const Tenths waited = last - least;
     // A message's own part of its goal grows as the probe has; the rest of the probe's time it waits as well.
     const auto stretched =
         static_cast<Tenths>(kOwnPart * static_cast<double>(goal * last) / static_cast<double>(least));
     delay = std::max(delay.value_or(0), waited > kNoise ? std::max(waited, stretched) : waited);
   }
-  if (!delay) return std::nullopt;
+  if (!delay) {
+    return std::nullopt;
+  }
   const bool over = *delay > limit;
-  if (over ? over_ && now - told_at_ < kTellEvery : !over_) return std::nullopt;
+  if (over ? over_ && now - told_at_ < kTellEvery : !over_) {
+    return std::nullopt;
+  }
   over_ = over;
   told_at_ = now;
   return delay;
 }
 
 double work_at_rest(std::vector<double> works) {
-  if (works.empty()) return 0;
+  if (works.empty()) {
+    return 0;
+  }
   std::sort(works.begin(), works.end());
   return works[(works.size() - 1) / 3];
 }
 
 Outcome outcome_of(TryEnd end) {
   switch (end.cause) {
-    case Cause::withdrawn: return Outcome::withdrawn;
+    case Cause::withdrawn:
+      return Outcome::withdrawn;
     case Cause::no_descriptor:
-    case Cause::local_failure: return Outcome::not_sent;  // says nothing of the host
+    case Cause::local_failure:
+      return Outcome::not_sent;  // says nothing of the host
     case Cause::client:
     case Cause::cancelled:
-    case Cause::move: return Outcome::cancelled;
-    case Cause::bye: return Outcome::honoured;
-    case Cause::busy: return Outcome::turned_away;
+    case Cause::move:
+      return Outcome::cancelled;
+    case Cause::bye:
+      return Outcome::honoured;
+    case Cause::busy:
+      return Outcome::turned_away;
     case Cause::error:
-    case Cause::nonsense: return Outcome::error;
+    case Cause::nonsense:
+      return Outcome::error;
     case Cause::time_out:
     case Cause::broken:
-    case Cause::closed: break;
+    case Cause::closed:
+      break;
+  }
+  if (end.reach < Reach::written) {
+    return Outcome::no_connection;  // its last byte never went out
   }
-  if (end.reach < Reach::written) return Outcome::no_connection;  // its last byte never went out
   return end.cause == Cause::time_out ? Outcome::no_answer : Outcome::lost;
 }
 
@@ -117,16 +146,21 @@
               [this](Ticket at, TryEnd end) { on_attempt_ended(at, end); },
               [this](Ticket at) {
                 const HeldRequest* found = held(at);
-                if (!found) return true;
+                if (!found) {
+                  return true;
+                }
                 return ledger_.may_send(id_of(at), allowed_by_list(*found), loop_.now()) == Refusal::none;
               },
               [this](Ticket at, Tenths delay) {
                 const HeldRequest* found = held(at);
-                if (found && loop_.late() < kHeldUp) meters_[found->host].line_back(loop_.now(), delay);
+                if (found && loop_.late() < kHeldUp) {
+                  meters_[found->host].line_back(loop_.now(), delay);
+                }
               },
               [this](Ticket at, double load) {
-                if (const HeldRequest* found = held(at))
+                if (const HeldRequest* found = held(at)) {
                   tell(EventKind::load_told, id_of(at), found->host).figure = load;
+                }
               }}),
       discovery_(loop, counters_, configuration_.discovery, limits_, configuration_.seed,
                  {[this](const List& list) {
@@ -143,13 +177,15 @@
                 Event& event = tell(EventKind::probe_ended, "", host);
                 event.outcome = outcome_of(probed.end);
                 event.took = probed.took;
-                if (probed.answer_after > 0 && loop_.late() < kHeldUp)
+                if (probed.answer_after > 0 && loop_.late() < kHeldUp) {
                   meters_[host].probed(loop_.now(), probed.answer_after);
+                }
               }),
       peers_(loop, counters_, configuration_.peers, configuration_.seed),
       chance_(hash(configuration_.seed)) {
-  if (configuration_.shadow)
+  if (configuration_.shadow) {
     shadow_ = std::make_unique<Shadow>(settings_of(*configuration_.shadow), configuration_.seed, loop.now());
+  }
   take_settings();
 }
 
@@ -167,8 +203,9 @@
     grammar_.traffic[text(settings_, at + "name")] =
         static_cast<Tenths>(number(settings_, at + "expiry", static_cast<double>(INT64_MAX / 2)));
   }
-  for (int i = 0; settings_.count("tenant." + std::to_string(i) + ".name"); ++i)
+  for (int i = 0; settings_.count("tenant." + std::to_string(i) + ".name"); ++i) {
     grammar_.tenants.insert(text(settings_, "tenant." + std::to_string(i) + ".name"));
+  }
 }
 
 std::optional<std::string> Node::start() {
@@ -193,7 +230,9 @@
 
 // Where changes come unasked the module never asks; the node keeps the watch up.
 void Node::subscribe() {
-  if (text(settings_, "discovery") == "on_request") return;
+  if (text(settings_, "discovery") == "on_request") {
+    return;
+  }
   // Danger: what the service has counts as told from the moment it is back, and hosts that drain are sent to
   // until the node has asked: no wait is longer than half of the grace.
   const Backoff backoff(number(settings_, "nodes", 1),
@@ -227,9 +266,13 @@
   event.traffic_type = opening.traffic_type;
   event.tenant = opening.tenant;
   event.key = opening.key;
-  if (groups_) event.group = opening.group;
+  if (groups_) {
+    event.group = opening.group;
+  }
   event.expiry = loop_.now() + opening.wait;
-  if (stopping_) event.expiry = std::min(event.expiry, ends_by_ - kLookEvery);  // no answer comes later
+  if (stopping_) {
+    event.expiry = std::min(event.expiry, ends_by_ - kLookEvery);  // no answer comes later
+  }
   made.request = opening.id;
   event.repeated = opening.repeated;
   event.returned = opening.returned;
@@ -244,7 +287,9 @@
   }
   ledger_.open(event.id, repeat_rule_of(opening.traffic_type), event.expiry);
   held_[event.id] = made;
-  if (!opening.at.empty()) reattach(ticket);
+  if (!opening.at.empty()) {
+    reattach(ticket);
+  }
 }
 
 HostPlace Node::place_of(const std::string& host) const {
@@ -254,8 +299,11 @@
 
 RepeatRule Node::repeat_rule_of(const std::string& traffic_type) const {
   const std::string at = entry(settings_, "traffic.", traffic_type);
-  if (at.empty()) return {};
-  const std::string effect = text(settings_, at + "effect"), group = text(settings_, at + "repeat_group");
+  if (at.empty()) {
+    return {};
+  }
+  const std::string effect = text(settings_, at + "effect");
+  const std::string group = text(settings_, at + "repeat_group");
   return {effect == "idempotent"     ? Effect::idempotent
           : effect == "deduplicated" ? Effect::deduplicated
                                      : Effect::unrepeatable,
@@ -266,7 +314,9 @@
 }
 
 bool Node::allowed_by_list(const HeldRequest& held) const {
-  if (held.handed_over) return true;  // nothing new: it stood there before
+  if (held.handed_over) {
+    return true;  // nothing new: it stood there before
+  }
   const auto leaves = leaving_.find(held.host);
   return leaves == leaving_.end() || (drain_alone_ && leaves->second == HostState::gone);
 }
@@ -279,7 +329,9 @@
 }
 
 void Node::release(const std::string& id) {
-  if (ledger_.close(id)) violated("close unanswered", id, Refusal::none);
+  if (ledger_.close(id)) {
+    violated("close unanswered", id, Refusal::none);
+  }
   held_.erase(id);
 }
 
@@ -287,7 +339,9 @@
 Refusal Node::start_attempt(HeldRequest& held, const std::string& id, Tenths time_out, Tenths connect_time) {
   const HostPlace place = place_of(held.host);
   const Refusal refusal = ledger_.may_begin(id, place, true, loop_.now());  // the list: at the last look
-  if (refusal != Refusal::none) return refusal;
+  if (refusal != Refusal::none) {
+    return refusal;
+  }
   ledger_.begun(id, place, loop_.now());
   relay_.begin_attempt(held.ticket, address_of(address(held.host)), time_out, connect_time);
   return Refusal::none;
@@ -295,12 +349,18 @@
 
 void Node::reattach(Ticket ticket) {
   HeldRequest* found = held(ticket);
-  if (!found || found->up || found->client_done) return;
+  if (!found || found->up || found->client_done) {
+    return;
+  }
   found->between_attempts = false;
   Tenths time = found->reattach->attempt_time(loop_.now());
-  if (stopping_) time = std::max<Tenths>(1, std::min(time, ends_by_ - kLookEvery - loop_.now()));
+  if (stopping_) {
+    time = std::max<Tenths>(1, std::min(time, ends_by_ - kLookEvery - loop_.now()));
+  }
   const Refusal refusal = start_attempt(*found, id_of(ticket), time, time);
-  if (refusal == Refusal::none) return;
+  if (refusal == Refusal::none) {
+    return;
+  }
   found->between_attempts = true;
   on_attempt_ended(ticket, {Reach::not_connected, Cause::withdrawn});
 }
@@ -308,7 +368,9 @@
 // Danger: the platform allows 40 s for a connection from before to come up again, and counts it as lost after
 // that. No single failure ends it: only a rule, its client, its host's leaving or the end of that time does.
 bool Node::reattach_later(Ticket ticket, HeldRequest& held, TryEnd end) {
-  if (held.between_attempts) return false;  // the ledger has refused
+  if (held.between_attempts) {
+    return false;  // the ledger has refused
+  }
   const std::string id = id_of(ticket);
   const bool listed = !address(held.host).empty();
   const auto leaves = leaving_.find(held.host);
@@ -324,7 +386,9 @@
               : refusal != Refusal::none ? std::string("given up: ") + name_of(refusal)
               : stopping_                ? std::string("given up: the node ends")
                                          : std::string("given up: its time is over"));
-  if (!again) return false;
+  if (!again) {
+    return false;
+  }
   ++counters_.reattached;
   held.between_attempts = true;
   Loop::Deadline one;
@@ -334,19 +398,28 @@
 
 void Node::on_client_left(Ticket ticket) {
   HeldRequest* found = held(ticket);
-  if (!found) return;
+  if (!found) {
+    return;
+  }
   tell(EventKind::client_left, id_of(ticket));
   ledger_.client_left(id_of(ticket));
-  if (!found->out) return release(id_of(ticket));
+  if (!found->out) {
+    return release(id_of(ticket));
+  }
   found->client_done = true;
-  if (found->between_attempts) on_attempt_ended(ticket, {Reach::not_connected, Cause::client});
+  if (found->between_attempts) {
+    on_attempt_ended(ticket, {Reach::not_connected, Cause::client});
+  }
 }
 
 void Node::on_established(Ticket ticket) {
   HeldRequest* found = held(ticket);
-  if (!found) return;
-  if (const Refusal refusal = ledger_.may_answer(id_of(ticket), FinalAnswer::up); refusal != Refusal::none)
+  if (!found) {
+    return;
+  }
+  if (const Refusal refusal = ledger_.may_answer(id_of(ticket), FinalAnswer::up); refusal != Refusal::none) {
     violated("pass on UP to", id_of(ticket), refusal);
+  }
   ledger_.answered(id_of(ticket));
   found->up = true;
   Event& event = tell(EventKind::established, id_of(ticket), found->host);
@@ -358,27 +431,50 @@
 
 void Node::on_attempt_ended(Ticket ticket, TryEnd end) {
   HeldRequest* found = held(ticket);
-  if (!found || !found->out) return;
+  if (!found || !found->out) {
+    return;
+  }
   const Outcome outcome = outcome_of(end);
-  if (!found->between_attempts)
+  if (!found->between_attempts) {
     ledger_.ended(id_of(ticket), outcome != Outcome::turned_away && outcome != Outcome::no_connection &&
                                      outcome != Outcome::not_sent && outcome != Outcome::withdrawn);
-  if (found->handed_over && !found->up && !found->client_done && reattach_later(ticket, *found, end)) return;
+  }
+  if (found->handed_over && !found->up && !found->client_done && reattach_later(ticket, *found, end)) {
+    return;
+  }
   Event& event = tell(EventKind::try_ended, id_of(ticket), found->host);
   event.number = found->tries - 1;
   event.outcome = outcome;
   event.took = loop_.now() - found->sent;
   event.final = found->up || found->client_done || found->handed_over;
   switch (event.outcome) {
-    case Outcome::honoured: ++counters_.ended; break;
-    case Outcome::error: ++counters_.errors; break;
-    case Outcome::turned_away: ++counters_.turned_away; break;
-    case Outcome::no_answer: ++counters_.unanswered; break;
-    case Outcome::no_connection: ++counters_.not_connected; break;
-    case Outcome::lost: ++counters_.lost; break;
-    case Outcome::cancelled: ++counters_.cancelled; break;
-    case Outcome::not_sent: ++counters_.not_sent; break;
-    case Outcome::withdrawn: ++counters_.withdrawn, --found->tries; break;  // as if it had never been
+    case Outcome::honoured:
+      ++counters_.ended;
+      break;
+    case Outcome::error:
+      ++counters_.errors;
+      break;
+    case Outcome::turned_away:
+      ++counters_.turned_away;
+      break;
+    case Outcome::no_answer:
+      ++counters_.unanswered;
+      break;
+    case Outcome::no_connection:
+      ++counters_.not_connected;
+      break;
+    case Outcome::lost:
+      ++counters_.lost;
+      break;
+    case Outcome::cancelled:
+      ++counters_.cancelled;
+      break;
+    case Outcome::not_sent:
+      ++counters_.not_sent;
+      break;
+    case Outcome::withdrawn:
+      ++counters_.withdrawn, --found->tries;
+      break;  // as if it had never been
   }
   // What a fleet of many nodes did is counted from these lines (tools/count.awk); none while level is info.
   spdlog::debug("host {} ended a {}, outcome {}, after ms {}", found->host, found->up ? "connection" : "try",
@@ -387,28 +483,46 @@
   const bool unheard = found->handed_over && !found->up && !found->client_done;
   const bool final = event.final;
   // A connection that stood at a host and can't be had there any more has ended; its client is told so.
-  if (unheard) return ++counters_.scrapped, answer(id_of(ticket), FinalAnswer::error, "ERR\r\n");
-  if (final) release(id_of(ticket));
+  if (unheard) {
+    return ++counters_.scrapped, answer(id_of(ticket), FinalAnswer::error, "ERR\r\n");
+  }
+  if (final) {
+    release(id_of(ticket));
+  }
 }
 
 void Node::on_list(const List& list, EventKind kind) {
-  for (const auto& [host, address] : list.addresses) addresses_[host] = address;
-  std::set<std::string> up, gone;
+  for (const auto& [host, address] : list.addresses) {
+    addresses_[host] = address;
+  }
+  std::set<std::string> up;
+  std::set<std::string> gone;
   for (const Listing& listing : list.listings) {
     places_[listing.host] = {listing.host, listing.zone, listing.cell};
     (listing.state == HostState::gone ? gone : up).insert(listing.host);
-    if (listing.zone == text(settings_, "zone") && listing.size > 0) near_[listing.host] = listing.size;
+    if (listing.zone == text(settings_, "zone") && listing.size > 0) {
+      near_[listing.host] = listing.size;
+    }
   }
-  for (const auto& [host, address] : addresses_)
-    if (list.whole && !up.count(host)) gone.insert(host);
-  for (const Listing& listing : list.listings)
+  for (const auto& [host, address] : addresses_) {
+    if (list.whole && !up.count(host)) {
+      gone.insert(host);
+    }
+  }
+  for (const Listing& listing : list.listings) {
     if (listing.state == HostState::draining) {
       leaving_[listing.host] = listing.state;
       probes_.forget(listing.host);  // danger: one whose connection comes up late would be new work as well
-    } else if (listing.state == HostState::healthy) leaving_.erase(listing.host);
-  for (const std::string& host : gone)
+    } else if (listing.state == HostState::healthy) {
+      leaving_.erase(listing.host);
+    }
+  }
+  for (const std::string& host : gone) {
     leaving_.try_emplace(host, HostState::gone);  // a drain goes on binding
-  for (const std::string& host : gone) probes_.forget(host), meters_.erase(host), near_.erase(host);
+  }
+  for (const std::string& host : gone) {
+    probes_.forget(host), meters_.erase(host), near_.erase(host);
+  }
   tell(kind).listings = list.listings;
 }
 
@@ -416,44 +530,65 @@
   const Tenths since = loop_.now() - looked_at_;
   looked_at_ = loop_.now();
   loop_.at(look_, looked_at_ + kLookEvery, [this] { sample_delays(); });
-  if (shadow_) watch_shadow({}, {});  // its alarm may be due
+  if (shadow_) {
+    watch_shadow({}, {});  // its alarm may be due
+  }
   exchange();
   std::map<std::string, std::pair<std::string, std::vector<Tenths>>> hosts;  // a connection there; the ages
-  if (loop_.late() >= kHeldUp) return;  // danger: after a pause every line seems unanswered
+  if (loop_.late() >= kHeldUp) {
+    return;  // danger: after a pause every line seems unanswered
+  }
   relay_.each_standing([&](Ticket ticket, Tenths unanswered) {
     const HeldRequest* found = held(ticket);
-    if (!found || !found->up) return;
+    if (!found || !found->up) {
+      return;
+    }
     auto& [id, ages] = hosts[found->host];
     id = id_of(ticket);
     ages.push_back(unanswered);
-    if (unanswered / kTellEvery > std::max<Tenths>(unanswered - since, 0) / kTellEvery)
+    if (unanswered / kTellEvery > std::max<Tenths>(unanswered - since, 0) / kTellEvery) {
       tell(EventKind::unanswered, id, found->host).figure = static_cast<double>(unanswered);
+    }
   });
   std::vector<double> works;
-  for (const auto& [host, size] : near_)
-    if (const auto meter = meters_.find(host); meter != meters_.end())
-      if (const auto least = meter->second.least()) works.push_back(size * static_cast<double>(*least));
+  for (const auto& [host, size] : near_) {
+    if (const auto meter = meters_.find(host); meter != meters_.end()) {
+      if (const auto least = meter->second.least()) {
+        works.push_back(size * static_cast<double>(*least));
+      }
+    }
+  }
   const double work = work_at_rest(std::move(works));
   // Danger: a slow host that has lost its last connection is told of no more, and is filled up again.
-  for (const auto& [host, meter] : meters_) hosts[host];
+  for (const auto& [host, meter] : meters_) {
+    hosts[host];
+  }
   for (auto& [host, seen] : hosts) {
     const auto near = near_.find(host);
     const Tenths at_rest = near == near_.end() ? 0 : static_cast<Tenths>(kSpeeds * work / near->second);
-    if (const auto delay = meters_[host].tell(loop_.now(), shortest_goal_, seen.second, at_rest))
+    if (const auto delay = meters_[host].tell(loop_.now(), shortest_goal_, seen.second, at_rest)) {
       tell(EventKind::delay_told, seen.first, host).figure = static_cast<double>(*delay);
+    }
   }
 }
 
 void Node::exchange() {
-  if (!peers_) return;  // counting what is held costs a walk over all of it
+  if (!peers_) {
+    return;  // counting what is held costs a walk over all of it
+  }
   Tally::Counts counts;
-  for (const auto& [id, one] : held_)
-    if (one.out && !one.client_done) ++counts[one.host];
+  for (const auto& [id, one] : held_) {
+    if (one.out && !one.client_done) {
+      ++counts[one.host];
+    }
+  }
   peers_.tell(counts);
   for (const auto& [host, address] : addresses_) {
     const double held = peers_.elsewhere(host).value_or(-1);
     const auto [told, fresh] = elsewhere_.try_emplace(host, -1);
-    if (std::abs(told->second - held) < kHeldStep) continue;
+    if (std::abs(told->second - held) < kHeldStep) {
+      continue;
+    }
     told->second = held;
     tell(EventKind::peer_word, "", host).figure = held;
   }
@@ -463,36 +598,52 @@
   while (!events_.empty()) {
     const std::vector<Event> batch = std::exchange(events_, {});
     const std::vector<Action> actions = choice_.take(loop_.now(), batch);
-    if (shadow_) watch_shadow(batch, actions);
-    for (const Action& action : actions) act(action);
+    if (shadow_) {
+      watch_shadow(batch, actions);
+    }
+    for (const Action& action : actions) {
+      act(action);
+    }
   }
 }
 
 void Node::watch_shadow(const std::vector<Event>& events, const std::vector<Action>& actions) {
-  if (shadow_->off()) return;
+  if (shadow_->off()) {
+    return;
+  }
   shadow_->follow(loop_.now(), events, actions);
-  if (shadow_->off()) spdlog::warn("the watched settings are let go, the node goes on: {}", shadow_->why());
+  if (shadow_->off()) {
+    spdlog::warn("the watched settings are let go, the node goes on: {}", shadow_->why());
+  }
 }
 
 // The one way to a final answer.
 void Node::answer(const std::string& id, FinalAnswer kind, const std::string& line) {
   const auto found = held_.find(id);
-  if (found == held_.end()) return;
+  if (found == held_.end()) {
+    return;
+  }
   const Ticket ticket = found->second.ticket;
   const Refusal refusal = ledger_.may_answer(id, kind);
   // Danger: a rejection says that a repeat is harmless; where it is not, the client is told of a failure.
   const bool failed_instead = refusal == Refusal::effect_may_repeat;
-  if (refusal != Refusal::none) violated("answer", id, refusal);
+  if (refusal != Refusal::none) {
+    violated("answer", id, refusal);
+  }
   ledger_.answered(id);
   release(id);
-  if (refusal == Refusal::none || failed_instead) relay_.answer(ticket, failed_instead ? "ERR\r\n" : line);
+  if (refusal == Refusal::none || failed_instead) {
+    relay_.answer(ticket, failed_instead ? "ERR\r\n" : line);
+  }
 }
 
 void Node::act(const Action& action) {
   const auto found = held_.find(action.id);
   switch (action.kind) {
     case ActionKind::setup_try:
-      if (found == held_.end()) return;
+      if (found == held_.end()) {
+        return;
+      }
       found->second.host = action.host;
       found->second.sent = loop_.now();
       ++found->second.tries;
@@ -506,7 +657,9 @@
       }
       return;
     case ActionKind::cancel_try:
-      if (found != held_.end()) relay_.cancel(found->second.ticket);
+      if (found != held_.end()) {
+        relay_.cancel(found->second.ticket);
+      }
       return;
     case ActionKind::reject:
       ++counters_.rejected;
@@ -515,9 +668,13 @@
       return answer(
           action.id, FinalAnswer::busy,
           action.time > 0 ? "BUSY " + std::to_string(action.time / kMs) + "\r\n" : std::string("BUSY\r\n"));
-    case ActionKind::scrap: ++counters_.scrapped; return answer(action.id, FinalAnswer::error, "ERR\r\n");
+    case ActionKind::scrap:
+      ++counters_.scrapped;
+      return answer(action.id, FinalAnswer::error, "ERR\r\n");
     case ActionKind::move: {
-      if (found == held_.end()) return;
+      if (found == held_.end()) {
+        return;
+      }
       ++counters_.moved;
       spdlog::debug("moved off host {}", found->second.host);
       const Ticket ticket = found->second.ticket;
@@ -526,20 +683,26 @@
       on_attempt_ended(ticket, {Reach::up, Cause::cancelled});
       return relay_.move(ticket);
     }
-    case ActionKind::probe: return probes_.probe(action.host, address(action.host));
+    case ActionKind::probe:
+      return probes_.probe(action.host, address(action.host));
     case ActionKind::set_alarm: {
       Loop::Deadline one;  // alarms are never withdrawn
       return loop_.at(one, loop_.now() + action.time,
                       [this, number = action.number] { tell(EventKind::alarm).number = number; });
     }
-    case ActionKind::subscribe: return discovery_.watch();
-    case ActionKind::fetch_list: return discovery_.fetch();
-    case ActionKind::log: return log_decision(action.text);
+    case ActionKind::subscribe:
+      return discovery_.watch();
+    case ActionKind::fetch_list:
+      return discovery_.fetch();
+    case ActionKind::log:
+      return log_decision(action.text);
   }
 }
 
 void Node::stop() {
-  if (stopping_) return;
+  if (stopping_) {
+    return;
+  }
   stopping_ = true;
   stopped_at_ = loop_.now();
   // Settled here: a SIGHUP on the way changes no more of it. Settings that name no expiry leave the longest.
@@ -570,10 +733,16 @@
   configuration_.descriptors = descriptor_limit(configuration_.descriptors);
   const std::string zone = text(settings_, "zone");
   settings_ = settings_of(configuration_.env);
-  if (text(settings_, "zone") != zone) near_.clear();  // the list of the new place fills it
+  if (text(settings_, "zone") != zone) {
+    near_.clear();  // the list of the new place fills it
+  }
   choice_.adopt(settings_);
-  if (!configuration_.shadow) shadow_.reset();
-  if (shadow_) shadow_->adopt(settings_of(*configuration_.shadow));
+  if (!configuration_.shadow) {
+    shadow_.reset();
+  }
+  if (shadow_) {
+    shadow_->adopt(settings_of(*configuration_.shadow));
+  }
   set_log(configuration_.log);
   take_settings();
   discovery_.move_to(configuration_.discovery);
@@ -582,17 +751,26 @@
 
 // Danger: what is still held when the process is killed is lost; it ends by itself before that.
 bool Node::done() {
-  if (!stopping_) return false;
-  if (loop_.now() >= ends_by_) return true;
-  if (loop_.now() - stopped_at_ < kStillComing || !held_.empty() || relay_.busy() > 0) return false;
+  if (!stopping_) {
+    return false;
+  }
+  if (loop_.now() >= ends_by_) {
+    return true;
+  }
+  if (loop_.now() - stopped_at_ < kStillComing || !held_.empty() || relay_.busy() > 0) {
+    return false;
+  }
   // Danger: what the kernel has accepted is taken, whether or not this process has seen it.
   return !relay_.accept_pending();
 }
 
 void Node::close_up() {
   std::vector<std::string> left;
-  for (const auto& [id, one] : held_)
-    if (!one.client_done) left.push_back(id);
+  for (const auto& [id, one] : held_) {
+    if (!one.client_done) {
+      left.push_back(id);
+    }
+  }
   for (const std::string& id : left) {
     const bool up = held_.at(id).up || held_.at(id).handed_over;
     spdlog::warn("{} at the node's end", up ? "a connection is moved" : "an attachment is scrapped");
@@ -602,7 +780,9 @@
 
 void Node::report() const {
   spdlog::info("{}", counters_.told());
-  if (shadow_) spdlog::info("{}{}", shadow_->counts().told(), shadow_->off() ? " | let go" : "");
+  if (shadow_) {
+    spdlog::info("{}{}", shadow_->counts().told(), shadow_->off() ? " | let go" : "");
+  }
 }
 
 }  // namespace dapplewharf
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -20,9 +20,12 @@
 Peers::Peers(Loop& loop, Counters& counters, const PeerSettings& settings, std::uint64_t seed)
     : loop_(loop), counters_(counters), tally_(static_cast<int>(settings.peers.size()), settings.me, seed) {
   const auto at = address_of(settings.listen);
-  if (!at || settings.peers.size() < 2) return;
-  for (const std::string& peer : settings.peers)
+  if (!at || settings.peers.size() < 2) {
+    return;
+  }
+  for (const std::string& peer : settings.peers) {
     addresses_.push_back(address_of(peer).value_or(sockaddr_in{}));
+  }
   listen_ = *at;
   open();
 }
@@ -33,8 +36,9 @@
   Socket socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket || bind(socket.number(), reinterpret_cast<const sockaddr*>(&*listen_), sizeof *listen_) != 0) {
     const int error = errno;
-    if (!std::exchange(told_, true))
+    if (!std::exchange(told_, true)) {
       spdlog::warn("no words with other nodes: their address cannot be listened at, error {}", error);
+    }
     return;
   }
   socket_ = std::move(socket);
@@ -42,17 +46,24 @@
 }
 
 void Peers::tell(const Tally::Counts& counts) {
-  if (!socket_ && listen_ && loop_.now() - opened_at_ >= kOpenEvery) open();
-  if (!socket_) return;
+  if (!socket_ && listen_ && loop_.now() - opened_at_ >= kOpenEvery) {
+    open();
+  }
+  if (!socket_) {
+    return;
+  }
   const std::vector<int> others = tally_.tell_to(loop_.now(), counts);
-  if (others.empty()) return;
+  if (others.empty()) {
+    return;
+  }
   const std::string word = Tally::word(counts, Loop::unix_now());
   for (const int other : others) {
     const sockaddr_in& to = addresses_[static_cast<std::size_t>(other)];
     // A word that the system does not take is lost like one on the way: the next one tells it all anew.
     if (sendto(socket_.number(), word.data(), word.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
-               reinterpret_cast<const sockaddr*>(&to), sizeof to) >= 0)
+               reinterpret_cast<const sockaddr*>(&to), sizeof to) >= 0) {
       ++counters_.words_told;
+    }
   }
 }
 
@@ -63,14 +74,21 @@
     socklen_t size = sizeof from;
     const ssize_t got = recvfrom(socket_.number(), bytes, sizeof bytes, MSG_DONTWAIT | MSG_TRUNC,
                                  reinterpret_cast<sockaddr*>(&from), &size);
-    if (got < 0) return;
+    if (got < 0) {
+      return;
+    }
     int sender = -1;
-    for (std::size_t k = 0; k < addresses_.size(); ++k)
-      if (same(addresses_[k], from)) sender = static_cast<int>(k);
+    for (std::size_t k = 0; k < addresses_.size(); ++k) {
+      if (same(addresses_[k], from)) {
+        sender = static_cast<int>(k);
+      }
+    }
     const bool whole = got <= static_cast<ssize_t>(sizeof bytes);
-    if (whole && tally_.hear(sender, {bytes, static_cast<std::size_t>(got)}, Loop::unix_now()))
+    if (whole && tally_.hear(sender, {bytes, static_cast<std::size_t>(got)}, Loop::unix_now())) {
       ++counters_.words_heard;
-    else ++counters_.words_passed;
+    } else {
+      ++counters_.words_passed;
+    }
   }
 }
 
--- a/src/node/probes.cpp
+++ b/src/node/probes.cpp
@@ -15,7 +15,9 @@
 
 void Probes::probe(const std::string& host, const std::string& address) {
   Line& line = lines_[host];
-  if (line.out) return;
+  if (line.out) {
+    return;
+  }
   ++counters_.probes;
   line.out = true;
   line.since = loop_.now();
@@ -23,7 +25,9 @@
   line.in.clear();
   loop_.at(line.deadline, loop_.now() + limits_.connect_time + kProbeSlack, [this, host] {
     const auto found = lines_.find(host);
-    if (found != lines_.end()) over(host, found->second, Cause::time_out, false);
+    if (found != lines_.end()) {
+      over(host, found->second, Cause::time_out, false);
+    }
   });
   if (line.address != address) {  // it moved
     loop_.unwatch(line.watched);
@@ -31,14 +35,18 @@
     line.address = address;
   }
   line.stale = static_cast<bool>(line.socket);
-  if (!line.socket) return dial_out(host, line);
+  if (!line.socket) {
+    return dial_out(host, line);
+  }
   loop_.want(line.watched, POLLIN | POLLOUT);
 }
 
 // Danger: connections kept to machines that are gone without a word would add up.
 void Probes::forget(const std::string& host) {
   const auto found = lines_.find(host);
-  if (found == lines_.end()) return;
+  if (found == lines_.end()) {
+    return;
+  }
   over(host, found->second, Cause::cancelled, false);
   lines_.erase(host);
 }
@@ -49,30 +57,40 @@
   line.sent = 0;
   const auto to = address_of(line.address);
   const Dial dialled = to ? dial(*to, limits_.descriptors, kProbesLeave, line.socket) : Dial::refused;
-  if (dialled != Dial::begun)
+  if (dialled != Dial::begun) {
     return over(host, line,
                 dialled == Dial::refused         ? Cause::broken
                 : dialled == Dial::no_descriptor ? Cause::no_descriptor
                                                  : Cause::local_failure,
                 false);
+  }
   line.watched = loop_.watch(line.socket.number(), POLLOUT, [this, host](short) { ready(host); });
 }
 
 void Probes::ready(const std::string& host) {
   const auto found = lines_.find(host);
-  if (found == lines_.end() || !found->second.socket) return;
+  if (found == lines_.end() || !found->second.socket) {
+    return;
+  }
   Line& line = found->second;
   if (line.reach == Reach::not_connected) {
-    if (!line.socket.connected()) return over(host, line, Cause::broken, false);
+    if (!line.socket.connected()) {
+      return over(host, line, Cause::broken, false);
+    }
     line.reach = Reach::partly_written;
   }
   bool ended = false;
   auto got = line.socket.receive(line.in, kLongestLine, ended);
   if (line.out && line.sent < kPing.size() && got && !ended) {
     const auto given = line.socket.send(kPing.data() + line.sent, kPing.size() - line.sent);
-    if (given) line.sent += *given;
-    else got = std::nullopt;
-    if (line.sent == kPing.size()) line.reach = Reach::written, line.written = loop_.now();
+    if (given) {
+      line.sent += *given;
+    } else {
+      got = std::nullopt;
+    }
+    if (line.sent == kPing.size()) {
+      line.reach = Reach::written, line.written = loop_.now();
+    }
   }
   if (!got || ended) {
     if (line.out && line.stale && line.in.empty()) {  // a kept connection had ended meanwhile
@@ -85,7 +103,9 @@
   loop_.want(line.watched, line.out && line.sent < kPing.size() ? POLLIN | POLLOUT : POLLIN);
   const std::size_t end = line.in.find('\n');
   if (end == std::string::npos) {
-    if (line.in.size() > kLongestLine) over(host, line, Cause::nonsense, false);
+    if (line.in.size() > kLongestLine) {
+      over(host, line, Cause::nonsense, false);
+    }
     return;
   }
   const Word word = word_of(std::string_view(line.in).substr(0, end + 1));
@@ -100,7 +120,9 @@
 void Probes::over(const std::string& host, Line& line, Cause cause, bool keep) {
   Probed probed{{line.reach, cause}, loop_.now() - line.since, 0};
   // Danger: an error comes at once, whatever waits there; as the least time it makes a sound host look slow.
-  if (cause == Cause::bye) probed.answer_after = loop_.now() - line.written;
+  if (cause == Cause::bye) {
+    probed.answer_after = loop_.now() - line.written;
+  }
   const bool told = std::exchange(line.out, false);
   loop_.cancel(line.deadline);
   if (!keep) {
@@ -108,7 +130,9 @@
     line.socket.close();
     line.reach = Reach::not_connected;
   }
-  if (told) told_(host, probed);
+  if (told) {
+    told_(host, probed);
+  }
 }
 
 }  // namespace dapplewharf
--- a/src/node/relay.cpp
+++ b/src/node/relay.cpp
@@ -43,7 +43,9 @@
       spare_(::open("/dev/null", O_RDONLY | O_CLOEXEC)) {}
 
 std::optional<std::string> Relay::listen(const sockaddr_in& at) {
-  if (auto fault = listen_at(at, listener_)) return fault;
+  if (auto fault = listen_at(at, listener_)) {
+    return fault;
+  }
   listening_ = loop_.watch(listener_.number(), POLLIN, [this](short) { accept_all(); });
   return std::nullopt;
 }
@@ -53,16 +55,23 @@
     Socket taken(accept4(listener_.number(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!taken) {
       const int error = errno;
-      if (error == ECONNABORTED || error == EINTR) continue;
-      if (error != EAGAIN && error != EWOULDBLOCK) accept_later(error);
-      else accept_failing_since_ = 0;
+      if (error == ECONNABORTED || error == EINTR) {
+        continue;
+      }
+      if (error != EAGAIN && error != EWOULDBLOCK) {
+        accept_later(error);
+      } else {
+        accept_failing_since_ = 0;
+      }
       return;
     }
     accept_failing_since_ = 0;
     ++counters_.accepted;
     const int on = 1;
     setsockopt(taken.number(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    if (crowded() || Socket::short_of(limits_.descriptors, kKeptBack / 2)) evict_one();
+    if (crowded() || Socket::short_of(limits_.descriptors, kKeptBack / 2)) {
+      evict_one();
+    }
     // Danger: with all descriptors taken clients would hang unheard; the last ones serve to turn them away.
     if (Socket::short_of(limits_.descriptors, kKeptBack / 2)) {
       turn_away(taken);
@@ -86,7 +95,9 @@
 // Whether those that say nothing hold more than their part. Danger: many usual clients that come at once are
 // silent for a moment, each until its line has come; they do not give way to one another.
 bool Relay::crowded() {
-  if (silent_.size() < static_cast<std::size_t>(limits_.descriptors / kSilentPart)) return false;
+  if (silent_.size() < static_cast<std::size_t>(limits_.descriptors / kSilentPart)) {
+    return false;
+  }
   return loop_.now() - links_.find(silent_.front())->silent_since >= kLineComesWithin;
 }
 
@@ -96,11 +107,15 @@
   ++counters_.accept_failures;
   if (accept_failing_since_ == 0) {
     accept_failing_since_ = loop_.now();
-    if (may_log()) spdlog::warn("accept failed, error {}; tried again", error);
+    if (may_log()) {
+      spdlog::warn("accept failed, error {}; tried again", error);
+    }
   }
   const bool lasts = loop_.now() - accept_failing_since_ >= kAcceptFailsFor;
   const bool none_left = Socket::short_of(limits_.descriptors, 0);
-  if ((error == EMFILE || error == ENFILE) && (lasts || none_left) && turn_away_one()) return;
+  if ((error == EMFILE || error == ENFILE) && (lasts || none_left) && turn_away_one()) {
+    return;
+  }
   loop_.want(listening_, 0);  // danger: a door that is not opened would wake poll for ever
   loop_.at(accept_again_, loop_.now() + kAcceptPause, [this] {
     loop_.want(listening_, POLLIN);
@@ -114,7 +129,9 @@
   while (!silent_.empty()) {
     const Ticket ticket = silent_.front();
     guarded(ticket, &Relay::client_ready);
-    if (silent_.empty() || !(silent_.front() == ticket)) continue;
+    if (silent_.empty() || !(silent_.front() == ticket)) {
+      continue;
+    }
     ++counters_.evicted;
     links_.find(ticket)->client.socket.send_whole("BUSY\r\n");
     return drop(ticket);
@@ -122,13 +139,17 @@
 }
 
 bool Relay::may_log() {
-  if (loop_.now() - logged_at_ >= kSecond) logged_at_ = loop_.now(), logged_ = 0;
+  if (loop_.now() - logged_at_ >= kSecond) {
+    logged_at_ = loop_.now(), logged_ = 0;
+  }
   return ++logged_ <= kLoggedASecond;  // danger: a flood of bad lines takes the log; the counter has them all
 }
 
 void Relay::refuse(Ticket ticket, Link& link, const std::string& fault) {
   ++counters_.malformed;
-  if (may_log()) spdlog::warn("client's first line is malformed: {}", fault);
+  if (may_log()) {
+    spdlog::warn("client's first line is malformed: {}", fault);
+  }
   close_after(ticket, link, "ERR\r\n");
 }
 
@@ -142,7 +163,9 @@
   spare_.close();
   Socket taken(accept4(listener_.number(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   const bool any = static_cast<bool>(taken);
-  if (any) turn_away(taken);
+  if (any) {
+    turn_away(taken);
+  }
   taken.close();
   spare_ = Socket(::open("/dev/null", O_RDONLY | O_CLOEXEC));
   return any;
@@ -155,8 +178,12 @@
   } catch (const std::exception& error) {
     spdlog::error("connection dropped: {}", error.what());
     Link* link = links_.find(ticket);
-    if (!link) return;
-    if (link->phase == Phase::waiting) callbacks_.client_left(ticket);  // nobody is left to be answered
+    if (!link) {
+      return;
+    }
+    if (link->phase == Phase::waiting) {
+      callbacks_.client_left(ticket);  // nobody is left to be answered
+    }
     finished(ticket, *link);
   }
 }
@@ -169,7 +196,9 @@
 
 void Relay::client_ready(Ticket ticket) {
   Link* link = links_.find(ticket);
-  if (!link) return;
+  if (!link) {
+    return;
+  }
   Side& client = link->client;
   if (link->phase == Phase::relaying) {
     bool ended = false;
@@ -181,7 +210,9 @@
         return broke(ticket, *link, link->host);
       }
       from_client(*link, before);
-      if (ended) client.in_ended = true, link->client_first = !link->host.in_ended, set_linger(ticket);
+      if (ended) {
+        client.in_ended = true, link->client_first = !link->host.in_ended, set_linger(ticket);
+      }
     }
     return settle(ticket, *link);
   }
@@ -191,36 +222,50 @@
     const auto got = client.socket.receive(ignored, kBuffer, ended);
     // Danger: one that pours on at full speed would cost turns for as long as it is heard out.
     link->poured += got.value_or(0);
-    if (!got || ended || link->poured > kPoured) return drop(ticket);
+    if (!got || ended || link->poured > kPoured) {
+      return drop(ticket);
+    }
     return flush_closing(ticket, *link);
   }
   bool ended = false;
   const auto got = client.socket.receive(link->early, 2 * kLongestLine - link->early.size(), ended);
   if (got && !ended) {
-    if (link->phase == Phase::greeting) return greet(ticket, *link);
-    if (link->early.empty()) return;
+    if (link->phase == Phase::greeting) {
+      return greet(ticket, *link);
+    }
+    if (link->early.empty()) {
+      return;
+    }
     // Danger: commands poured in behind the first one would reach the host of that one. A client waits.
     callbacks_.client_left(ticket);
     end_try(ticket, *link, Cause::client);
     return refuse(ticket, *link, "more before its answer");
   }
   if (link->phase == Phase::greeting) {
-    if (link->early.empty() || !got) return drop(ticket);
+    if (link->early.empty() || !got) {
+      return drop(ticket);
+    }
     return refuse(ticket, *link, "half a line");
   }
   // The client has gone, or ends its sending: it gets an answer in case it still listens.
   ++counters_.left;
   callbacks_.client_left(ticket);
   end_try(ticket, *link, Cause::client);
-  if (got) close_after(ticket, *link, "ERR\r\n");
-  else drop(ticket);
+  if (got) {
+    close_after(ticket, *link, "ERR\r\n");
+  } else {
+    drop(ticket);
+  }
 }
 
 void Relay::greeting_ends(Ticket ticket, Link& link, Tenths after) {
   loop_.at(link.deadline, loop_.now() + after, [this, ticket] {
     Link* late = links_.find(ticket);
-    if (late && !late->early.empty()) refuse(ticket, *late, "half a line");
-    else drop(ticket);
+    if (late && !late->early.empty()) {
+      refuse(ticket, *late, "half a line");
+    } else {
+      drop(ticket);
+    }
   });
 }
 
@@ -230,8 +275,9 @@
     const bool long_one = end == std::string::npos ? link.early.size() >= kLongestLine : end >= kLongestLine;
     if (end == std::string::npos && !long_one) {
       // One that has said PING has longer for its line to begin, and no longer for it to end.
-      if (!link.early.empty() && link.deadline.when > loop_.now() + kGreetingTime)
+      if (!link.early.empty() && link.deadline.when > loop_.now() + kGreetingTime) {
         greeting_ends(ticket, link, kGreetingTime);
+      }
       return;
     }
     const std::string line = long_one ? "" : link.early.substr(0, end + 1);
@@ -246,14 +292,21 @@
       continue;
     }
     Opened opened = opening_of(line, grammar_);
-    if (long_one) opened.fault = "too long";
+    if (long_one) {
+      opened.fault = "too long";
+    }
     // Danger: the id of another client's open attachment makes hosts turn away what they would have served,
     // and look sick. Ids are new with every connection, so one that was held lately is not free either.
     if (opened.opening && (ids_.count(opened.opening->id) ||
-                           std::find(ended_.begin(), ended_.end(), opened.opening->id) != ended_.end()))
+                           std::find(ended_.begin(), ended_.end(), opened.opening->id) != ended_.end())) {
       opened = {std::nullopt, "an id that is taken"};
-    if (opened.opening && end + 1 < link.early.size()) opened = {std::nullopt, "more behind it"};
-    if (!opened.opening) return refuse(ticket, link, opened.fault);
+    }
+    if (opened.opening && end + 1 < link.early.size()) {
+      opened = {std::nullopt, "more behind it"};
+    }
+    if (!opened.opening) {
+      return refuse(ticket, link, opened.fault);
+    }
     link.early = {};
     link.opening = std::move(*opened.opening);
     ids_.insert(link.opening.id);
@@ -268,7 +321,9 @@
 void Relay::begin_attempt(Ticket ticket, const std::optional<sockaddr_in>& address, Tenths time_out,
                           Tenths connect_time) {
   Link* link = links_.find(ticket);
-  if (!link || link->phase != Phase::waiting || link->try_out) return;
+  if (!link || link->phase != Phase::waiting || link->try_out) {
+    return;
+  }
   ++counters_.tries;
   link->try_out = true;
   link->reach = Reach::not_connected;
@@ -277,8 +332,12 @@
   // Danger: behind a long turn, or chosen in the very turn of its client's end, a try is a host's work for
   // nobody.
   link = attempt_with_client(ticket);
-  if (!link) return;
-  if (!address) return end_try(ticket, *link, Cause::broken);
+  if (!link) {
+    return;
+  }
+  if (!address) {
+    return end_try(ticket, *link, Cause::broken);
+  }
   const Tenths connect_until =
       std::min(link->try_until, loop_.now() + (connect_time > 0 ? connect_time : limits_.connect_time));
   dial_host(ticket, *address, connect_until);
@@ -288,19 +347,30 @@
 // a request at once. Until the time to connect is over it is tried again; the host hears nothing of it.
 void Relay::dial_host(Ticket ticket, const sockaddr_in& address, Tenths connect_until) {
   Link* link = links_.find(ticket);
-  if (!link || !link->try_out) return;
-  if (Socket::short_of(limits_.descriptors, kKeptBack)) evict_one();
+  if (!link || !link->try_out) {
+    return;
+  }
+  if (Socket::short_of(limits_.descriptors, kKeptBack)) {
+    evict_one();
+  }
   switch (dial(address, limits_.descriptors, kKeptBack, link->host.socket)) {
-    case Dial::refused: return end_try(ticket, *link, Cause::broken);
-    case Dial::no_descriptor: return end_try(ticket, *link, Cause::no_descriptor);
+    case Dial::refused:
+      return end_try(ticket, *link, Cause::broken);
+    case Dial::no_descriptor:
+      return end_try(ticket, *link, Cause::no_descriptor);
     case Dial::local_failure:
       ++counters_.local_failures;
-      if (loop_.now() + kDialPause >= connect_until) return end_try(ticket, *link, Cause::local_failure);
+      if (loop_.now() + kDialPause >= connect_until) {
+        return end_try(ticket, *link, Cause::local_failure);
+      }
       return loop_.at(link->deadline, loop_.now() + kDialPause, [this, ticket, address, connect_until] {
         const Link* waiting = links_.find(ticket);
-        if (waiting && waiting->try_out && may_still_send(ticket)) dial_host(ticket, address, connect_until);
+        if (waiting && waiting->try_out && may_still_send(ticket)) {
+          dial_host(ticket, address, connect_until);
+        }
       });
-    case Dial::begun: break;
+    case Dial::begun:
+      break;
   }
   link->host.watched = loop_.watch(link->host.socket.number(), POLLOUT,
                                    [this, ticket](short) { guarded(ticket, &Relay::host_ready); });
@@ -309,13 +379,17 @@
 
 void Relay::times_out(Ticket ticket, Link& link, Tenths when) {
   loop_.at(link.deadline, when, [this, ticket] {
-    if (Link* late = links_.find(ticket)) end_try(ticket, *late, Cause::time_out);
+    if (Link* late = links_.find(ticket)) {
+      end_try(ticket, *late, Cause::time_out);
+    }
   });
 }
 
 // Reads what the client has sent by now, or its end; null when that ended the try.
 Relay::Link* Relay::attempt_with_client(Ticket ticket) {
-  if (links_.find(ticket)->client.socket.has_news()) client_ready(ticket);
+  if (links_.find(ticket)->client.socket.has_news()) {
+    client_ready(ticket);
+  }
   Link* link = links_.find(ticket);
   return link && link->try_out ? link : nullptr;
 }
@@ -325,23 +399,37 @@
 // the process; whatever is found here is known not to have run. What has begun is never withdrawn.
 bool Relay::may_still_send(Ticket ticket) {
   Link* link = attempt_with_client(ticket);
-  if (!link) return false;
-  if (loop_.now() >= link->try_until) return end_try(ticket, *link, Cause::time_out), false;
-  if (!callbacks_.may_send(ticket)) return end_try(ticket, *link, Cause::withdrawn), false;
+  if (!link) {
+    return false;
+  }
+  if (loop_.now() >= link->try_until) {
+    return end_try(ticket, *link, Cause::time_out), false;
+  }
+  if (!callbacks_.may_send(ticket)) {
+    return end_try(ticket, *link, Cause::withdrawn), false;
+  }
   return true;
 }
 
 bool Relay::deliver(Ticket ticket, Link& link) {
   if (link.reach == Reach::not_connected) {
-    if (!link.host.socket.connected()) return end_try(ticket, link, Cause::broken), false;
-    if (!may_still_send(ticket)) return false;
+    if (!link.host.socket.connected()) {
+      return end_try(ticket, link, Cause::broken), false;
+    }
+    if (!may_still_send(ticket)) {
+      return false;
+    }
     link.reach = Reach::partly_written;
     link.host.out = with_wait(link.opening, link.try_until - loop_.now());
     times_out(ticket, link, link.try_until);
   }
-  if (link.reach == Reach::written) return true;
+  if (link.reach == Reach::written) {
+    return true;
+  }
   const auto given = link.host.socket.send(link.host.out.data(), link.host.out.size());
-  if (!given) return end_try(ticket, link, Cause::broken), false;
+  if (!given) {
+    return end_try(ticket, link, Cause::broken), false;
+  }
   link.host.out.erase(0, *given);
   if (link.host.out.empty()) {
     link.reach = Reach::written;
@@ -353,9 +441,13 @@
 
 void Relay::host_ready(Ticket ticket) {
   Link* link = links_.find(ticket);
-  if (!link || !link->host.socket) return;
+  if (!link || !link->host.socket) {
+    return;
+  }
   if (link->phase == Phase::waiting) {
-    if (deliver(ticket, *link)) await_up(ticket, *link);
+    if (deliver(ticket, *link)) {
+      await_up(ticket, *link);
+    }
     return;
   }
   Side& host = link->host;
@@ -363,10 +455,16 @@
   if (!host.in_ended && before < kBuffer) {
     bool ended = false;
     const auto got = take(host, link->client.out, ended);
-    if (!got) return host_broke(ticket, *link);
-    if (ended) host.in_ended = true, set_linger(ticket);
+    if (!got) {
+      return host_broke(ticket, *link);
+    }
+    if (ended) {
+      host.in_ended = true, set_linger(ticket);
+    }
     from_host(ticket, *link, before);
-    if (link->phase != Phase::relaying) return;  // moved
+    if (link->phase != Phase::relaying) {
+      return;  // moved
+    }
   }
   settle(ticket, *link);
 }
@@ -374,19 +472,29 @@
 void Relay::await_up(Ticket ticket, Link& link) {
   bool ended = false;
   const auto got = link.host.socket.receive(link.first, kBuffer - link.first.size(), ended);
-  if (!got) return end_try(ticket, link, Cause::broken);
+  if (!got) {
+    return end_try(ticket, link, Cause::broken);
+  }
   const std::size_t end = link.first.find('\n');
   if (end == std::string::npos) {
-    if (ended) end_try(ticket, link, Cause::closed);
-    else if (link.first.size() > kLongestLine) end_try(ticket, link, Cause::nonsense);
+    if (ended) {
+      end_try(ticket, link, Cause::closed);
+    } else if (link.first.size() > kLongestLine) {
+      end_try(ticket, link, Cause::nonsense);
+    }
     return;
   }
   const Word word = word_of(std::string_view(link.first).substr(0, end + 1));
-  if (word == Word::busy) return end_try(ticket, link, Cause::busy);
-  if (word == Word::error) return end_try(ticket, link, Cause::error);
+  if (word == Word::busy) {
+    return end_try(ticket, link, Cause::busy);
+  }
+  if (word == Word::error) {
+    return end_try(ticket, link, Cause::error);
+  }
   if (word != Word::up || link.reach != Reach::written) {
-    if (may_log())
+    if (may_log()) {
       spdlog::warn("a host answered nonsense: {}", link.first.substr(0, std::min<std::size_t>(end, 80)));
+    }
     return end_try(ticket, link, Cause::nonsense);
   }
   loop_.cancel(link.deadline);
@@ -399,11 +507,17 @@
   link.whole = end + 1;
   link.opening.line = {};  // no further try
   link.host.in_ended = ended;
-  if (ended) set_linger(ticket);
+  if (ended) {
+    set_linger(ticket);
+  }
   callbacks_.established(ticket);
-  if (!links_.find(ticket) || link.phase != Phase::relaying) return;
+  if (!links_.find(ticket) || link.phase != Phase::relaying) {
+    return;
+  }
   from_host(ticket, link, end + 1);
-  if (link.phase == Phase::relaying) settle(ticket, link);
+  if (link.phase == Phase::relaying) {
+    settle(ticket, link);
+  }
 }
 
 void Relay::drop_host(Link& link) {
@@ -412,7 +526,9 @@
 }
 
 void Relay::end_try(Ticket ticket, Link& link, Cause cause) {
-  if (!link.try_out) return;
+  if (!link.try_out) {
+    return;
+  }
   link.try_out = false;
   loop_.cancel(link.deadline);
   drop_host(link);
@@ -421,13 +537,17 @@
 
 void Relay::cancel(Ticket ticket) {
   Link* link = links_.find(ticket);
-  if (link && link->phase == Phase::waiting) end_try(ticket, *link, Cause::cancelled);
+  if (link && link->phase == Phase::waiting) {
+    end_try(ticket, *link, Cause::cancelled);
+  }
 }
 
 void Relay::from_client(Link& link, std::size_t from) {
   counters_.bytes_to_hosts += link.host.out.size() - from;
   link.flowed = loop_.now();
-  if (link.asked_at == 0 && link.host.out.find('\n', from) != std::string::npos) link.asked_at = loop_.now();
+  if (link.asked_at == 0 && link.host.out.find('\n', from) != std::string::npos) {
+    link.asked_at = loop_.now();
+  }
 }
 
 void Relay::from_host(Ticket ticket, Link& link, std::size_t from) {
@@ -435,20 +555,30 @@
   link.flowed = loop_.now();
   for (std::size_t at = from; at < link.client.out.size(); ++at) {
     const char byte = link.client.out[at];
-    if (link.head.size() < kHeadKept) link.head += byte;
-    if (byte != '\n') continue;
+    if (link.head.size() < kHeadKept) {
+      link.head += byte;
+    }
+    if (byte != '\n') {
+      continue;
+    }
     link.whole = at + 1;
     link.within_line = false;
     host_line(ticket, link);
     link.head.clear();
-    if (link.moves) return move(ticket);
+    if (link.moves) {
+      return move(ticket);
+    }
   }
 }
 
 void Relay::host_line(Ticket ticket, Link& link) {
   link.last = word_of(link.head);
-  if (link.last == Word::load) return callbacks_.load_reported(ticket, load_of(link.head));
-  if (link.last == Word::bye || link.last == Word::move || link.asked_at == 0) return;
+  if (link.last == Word::load) {
+    return callbacks_.load_reported(ticket, load_of(link.head));
+  }
+  if (link.last == Word::bye || link.last == Word::move || link.asked_at == 0) {
+    return;
+  }
   callbacks_.line_answered(ticket, loop_.now() - std::exchange(link.asked_at, 0));
 }
 
@@ -466,13 +596,17 @@
   const std::size_t may = to_client ? may_go(link) : side.out.size();
   if (may > 0) {
     const auto given = side.socket.send(side.out.data(), may);
-    if (!given) return false;
+    if (!given) {
+      return false;
+    }
     if (to_client && *given > 0) {
       link.within_line = side.out[*given - 1] != '\n' && *given >= link.whole;
       link.whole -= std::min(link.whole, *given);
     }
     side.out.erase(0, *given);
-    if (side.out.empty()) side.out.shrink_to_fit();
+    if (side.out.empty()) {
+      side.out.shrink_to_fit();
+    }
   }
   if (other.in_ended && side.out.empty() && !side.out_ended) {
     side.out_ended = true;  // a FIN is passed on as one
@@ -482,12 +616,16 @@
 }
 
 void Relay::settle(Ticket ticket, Link& link) {
-  if (!flush(link, link.host, link.client)) return host_broke(ticket, link);
+  if (!flush(link, link.host, link.client)) {
+    return host_broke(ticket, link);
+  }
   if (!flush(link, link.client, link.host)) {
     link.client_first = link.client_first || !link.host.in_ended;
     return broke(ticket, link, link.host);
   }
-  if (link.client.out_ended && link.host.out_ended) return finished(ticket, link);
+  if (link.client.out_ended && link.host.out_ended) {
+    return finished(ticket, link);
+  }
   const auto events = [](const Side& side, const Side& other, bool sends) {
     return static_cast<short>((!side.in_ended && other.out.size() < kBuffer ? POLLIN : 0) |
                               (sends ? POLLOUT : 0));
@@ -499,7 +637,9 @@
 // Danger: a host that cannot be reached any more may live and answer others; a client that is cut off without
 // MOVE would not come again. What a host has reset it has ended, and the client's side ends alike.
 void Relay::host_broke(Ticket ticket, Link& link) {
-  if (!is_way_broken(errno) || link.client.out_ended) return broke(ticket, link, link.client);
+  if (!is_way_broken(errno) || link.client.out_ended) {
+    return broke(ticket, link, link.client);
+  }
   end_try(ticket, link, Cause::broken);
   move(ticket);
 }
@@ -523,19 +663,27 @@
 
 void Relay::set_linger(Ticket ticket) {
   Link* link = links_.find(ticket);
-  if (!link || link->deadline.number != 0) return;
+  if (!link || link->deadline.number != 0) {
+    return;
+  }
   loop_.at(link->deadline, loop_.now() + (link->host.in_ended ? kHostEnded : kLinger), [this, ticket] {
     Link* held = links_.find(ticket);
-    if (!held) return;
+    if (!held) {
+      return;
+    }
     held->deadline = {};
-    if (!held->host.in_ended && loop_.now() - held->flowed < kLinger) return set_linger(ticket);
+    if (!held->host.in_ended && loop_.now() - held->flowed < kLinger) {
+      return set_linger(ticket);
+    }
     finished(ticket, *held);  // danger: half-closed connections that nobody ends take all descriptors
   });
 }
 
 void Relay::answer(Ticket ticket, const std::string& line) {
   Link* link = links_.find(ticket);
-  if (!link || link->phase != Phase::waiting) return;
+  if (!link || link->phase != Phase::waiting) {
+    return;
+  }
   end_try(ticket, *link, Cause::cancelled);
   close_after(ticket, *link, line);
 }
@@ -555,7 +703,9 @@
 
 void Relay::shorten_attempts(Tenths until) {
   links_.each([&](Ticket ticket, Link& link) {
-    if (!link.try_out || link.phase != Phase::waiting || link.try_until <= until) return;
+    if (!link.try_out || link.phase != Phase::waiting || link.try_until <= until) {
+      return;
+    }
     link.try_until = until;
     times_out(ticket, link, std::min(link.deadline.when, until));
   });
@@ -567,7 +717,9 @@
     link->try_out = false;
     return close_after(ticket, *link, "MOVE\r\n");
   }
-  if (!link || link->phase != Phase::relaying) return;
+  if (!link || link->phase != Phase::relaying) {
+    return;
+  }
   if (link->within_line && !link->moves) {  // danger: MOVE amid a line is no MOVE; its end is waited for
     link->moves = true;
     return loop_.at(link->deadline, loop_.now() + kClosingTime, [this, ticket] { drop(ticket); });
@@ -593,26 +745,36 @@
   Side& client = link.client;
   if (!client.out.empty()) {
     const auto given = client.socket.send(client.out.data(), client.out.size());
-    if (!given) return drop(ticket);
+    if (!given) {
+      return drop(ticket);
+    }
     client.out.erase(0, *given);
   }
   if (client.out.empty() && !client.out_ended) {
     client.out_ended = true;
     client.socket.finish();
   }
-  if (client.out.empty() && client.in_ended) return drop(ticket);
+  if (client.out.empty() && client.in_ended) {
+    return drop(ticket);
+  }
   loop_.want(client.watched, client.out.empty() ? POLLIN : POLLIN | POLLOUT);
 }
 
 void Relay::drop(Ticket ticket) {
   Link* link = links_.find(ticket);
-  if (!link) return;
+  if (!link) {
+    return;
+  }
   loop_.cancel(link->deadline);
   loop_.unwatch(link->client.watched);
   loop_.unwatch(link->host.watched);
   std::erase(silent_, ticket);
-  if (ids_.erase(link->opening.id) > 0) ended_.push_back(std::move(link->opening.id));
-  if (ended_.size() > kIdsKept) ended_.pop_front();
+  if (ids_.erase(link->opening.id) > 0) {
+    ended_.push_back(std::move(link->opening.id));
+  }
+  if (ended_.size() > kIdsKept) {
+    ended_.pop_front();
+  }
   links_.drop(ticket);
 }
 
--- a/src/node/relay.h
+++ b/src/node/relay.h
@@ -62,7 +62,9 @@
   template <class Visit>
   void each_standing(Visit visit) {
     links_.each([&](Ticket ticket, const Link& link) {
-      if (link.phase == Phase::relaying) visit(ticket, link.asked_at == 0 ? 0 : loop_.now() - link.asked_at);
+      if (link.phase == Phase::relaying) {
+        visit(ticket, link.asked_at == 0 ? 0 : loop_.now() - link.asked_at);
+      }
     });
   }
 
--- a/src/node/reload.cpp
+++ b/src/node/reload.cpp
@@ -15,12 +15,15 @@
   return read;
 }
 
-void Reloader::reload() { read(loop_.now() + kGivenUpAfter); }
+void Reloader::reload() {
+  read(loop_.now() + kGivenUpAfter);
+}
 
 void Reloader::read(Tenths until) {
   const Read found = read_configuration(files_, Source::file_only);
-  if (!found.taken && found.unreadable && loop_.now() < until)
+  if (!found.taken && found.unreadable && loop_.now() < until) {
     return loop_.at(again_, loop_.now() + kAgainAfter, [this, until] { read(until); });
+  }
   loop_.cancel(again_);
   node_.reload(found);
 }
--- a/src/notes.h
+++ b/src/notes.h
@@ -23,7 +23,9 @@
 inline double needed(const Settings& settings, const std::string& name) {
   const auto found = settings.find(name);
   const double* value = found == settings.end() ? nullptr : std::get_if<double>(&found->second);
-  if (!value) throw std::runtime_error("setting missing: " + name);
+  if (!value) {
+    throw std::runtime_error("setting missing: " + name);
+  }
   return *value;
 }
 
@@ -37,18 +39,22 @@
 inline double extreme(const Settings& settings, const std::string& list, const std::string& name, int sign,
                       double otherwise) {
   const std::string first = list + "0" + name;
-  if (!settings.count(first)) return otherwise;
+  if (!settings.count(first)) {
+    return otherwise;
+  }
   double found = number(settings, first, otherwise);
-  for (int i = 1; settings.count(list + std::to_string(i) + name); ++i)
+  for (int i = 1; settings.count(list + std::to_string(i) + name); ++i) {
     found = sign * std::max(sign * found, sign * number(settings, list + std::to_string(i) + name, found));
+  }
   return found;
 }
 
 // The sum of a figure that each one of a list of settings has.
 inline double total(const Settings& settings, const std::string& list, const std::string& name) {
   double sum = 0;
-  for (int i = 0; settings.count(list + std::to_string(i) + name); ++i)
+  for (int i = 0; settings.count(list + std::to_string(i) + name); ++i) {
     sum += number(settings, list + std::to_string(i) + name, 0);
+  }
   return sum;
 }
 
@@ -56,8 +62,12 @@
 inline std::string entry(const Settings& settings, const std::string& list, const std::string& name) {
   for (int i = 0;; ++i) {
     const std::string prefix = list + std::to_string(i) + ".";
-    if (!settings.count(prefix + "name")) return "";
-    if (text(settings, prefix + "name") == name) return prefix;
+    if (!settings.count(prefix + "name")) {
+      return "";
+    }
+    if (text(settings, prefix + "name") == name) {
+      return prefix;
+    }
   }
 }
 
@@ -70,7 +80,9 @@
 template <class Sample>
 void keep_last(std::deque<Sample>& samples, Sample sample, std::size_t most) {
   samples.push_back(sample);
-  if (samples.size() > most) samples.pop_front();
+  if (samples.size() > most) {
+    samples.pop_front();
+  }
 }
 
 // What the settings say that is asked for with every event, looked up once. Throws naming a missing rule.
@@ -203,20 +215,28 @@
       const auto found = cards.find(place.id);
       place.card =
           found != cards.end() && points_of(found->second) == place.points ? &found->second : nullptr;
-      if (place.card) laid.insert(place.id);
-      else free.push_back(i);
+      if (place.card) {
+        laid.insert(place.id);
+      } else {
+        free.push_back(i);
+      }
     }
     std::erase_if(points_, [this](const Point& point) { return !places_[point.place].card; });
     const auto kept = static_cast<std::ptrdiff_t>(points_.size());
     for (const auto& [id, card] : cards) {
-      if (laid.count(id)) continue;
-      if (free.empty()) free.push_back(static_cast<std::uint32_t>(places_.size())), places_.emplace_back();
+      if (laid.count(id)) {
+        continue;
+      }
+      if (free.empty()) {
+        free.push_back(static_cast<std::uint32_t>(places_.size())), places_.emplace_back();
+      }
       const std::uint32_t at = free.back();
       free.pop_back();
       places_[at] = {id, &card, points_of(card)};
       const std::uint64_t start = hash(id);
-      for (int i = 0; i < places_[at].points; ++i)
+      for (int i = 0; i < places_[at].points; ++i) {
         points_.push_back({hash(start + static_cast<unsigned>(i)), at, i});
+      }
     }
     std::sort(points_.begin() + kept, points_.end());
     std::inplace_merge(points_.begin(), points_.begin() + kept, points_.end());
@@ -229,13 +249,21 @@
     std::size_t unseen = places_.size();
     auto at = std::lower_bound(points_.begin(), points_.end(), Point{key, 0, 0});
     for (std::size_t i = 0; i < points_.size() && unseen > 0; ++i, ++at) {
-      if (at == points_.end()) at = points_.begin();
+      if (at == points_.end()) {
+        at = points_.begin();
+      }
       int& left = left_[at->place];
       const Place& place = places_[at->place];
-      if (left == kUnseen && (left = taken(*place.card)) <= 0) --unseen;
-      if (at->number >= left) continue;
+      if (left == kUnseen && (left = taken(*place.card)) <= 0) {
+        --unseen;
+      }
+      if (at->number >= left) {
+        continue;
+      }
       left = 0, --unseen;
-      if (!visit(place.id, *place.card)) return;
+      if (!visit(place.id, *place.card)) {
+        return;
+      }
     }
   }
 
@@ -265,8 +293,11 @@
 class Post {
  public:
   Note& fresh() {
-    if (used_ == sheets_.size()) sheets_.push_back(std::make_unique<Note>());
-    else *sheets_[used_] = blank_;
+    if (used_ == sheets_.size()) {
+      sheets_.push_back(std::make_unique<Note>());
+    } else {
+      *sheets_[used_] = blank_;
+    }
     return *sheets_[used_++];
   }
   Note* next() { return sorted_ < used_ ? sheets_[sorted_++].get() : nullptr; }
--- a/src/policy/reattach.h
+++ b/src/policy/reattach.h
@@ -43,7 +43,9 @@
     ++ended_;
     const Tenths span = grown / 2 + static_cast<Tenths>(static_cast<double>(grown / 2) * chance);
     const Tenths last = listed ? until_ : std::min(until_, begun_ + kUnlisted);
-    if (now + span >= last) return std::nullopt;
+    if (now + span >= last) {
+      return std::nullopt;
+    }
     return span;
   }
 
--- a/src/policy/request_ledger.cpp
+++ b/src/policy/request_ledger.cpp
@@ -6,14 +6,22 @@
 
 const char* name_of(Refusal refusal) {
   switch (refusal) {
-    case Refusal::none: return "none";
-    case Refusal::unknown_request: return "unknown request";
-    case Refusal::already_answered: return "already answered";
-    case Refusal::client_gone: return "client gone";
-    case Refusal::past_deadline: return "past its deadline";
-    case Refusal::attempt_out: return "another attempt is out";
-    case Refusal::effect_may_repeat: return "an earlier attempt may have run";
-    case Refusal::host_is_leaving: return "its host is leaving";
+    case Refusal::none:
+      return "none";
+    case Refusal::unknown_request:
+      return "unknown request";
+    case Refusal::already_answered:
+      return "already answered";
+    case Refusal::client_gone:
+      return "client gone";
+    case Refusal::past_deadline:
+      return "past its deadline";
+    case Refusal::attempt_out:
+      return "another attempt is out";
+    case Refusal::effect_may_repeat:
+      return "an earlier attempt may have run";
+    case Refusal::host_is_leaving:
+      return "its host is leaving";
   }
   return "unknown";
 }
@@ -23,22 +31,35 @@
 }
 
 void RequestLedger::client_left(const std::string& id) {
-  if (const auto found = requests_.find(id); found != requests_.end()) found->second.client_gone = true;
+  if (const auto found = requests_.find(id); found != requests_.end()) {
+    found->second.client_gone = true;
+  }
 }
 
 void RequestLedger::expire_by(Tenths deadline) {
-  for (auto& [id, request] : requests_) request.deadline = std::min(request.deadline, deadline);
+  for (auto& [id, request] : requests_) {
+    request.deadline = std::min(request.deadline, deadline);
+  }
 }
 
 bool RequestLedger::repeat_is_dropped(const RepeatRule& rule, const Attempt& earlier, const HostPlace& to,
                                       Tenths now) {
-  if (rule.effect == Effect::idempotent) return true;
-  if (rule.effect == Effect::unrepeatable || now - earlier.since + kRepeatMargin >= rule.window) return false;
-  if (earlier.to.host == to.host) return true;
+  if (rule.effect == Effect::idempotent) {
+    return true;
+  }
+  if (rule.effect == Effect::unrepeatable || now - earlier.since + kRepeatMargin >= rule.window) {
+    return false;
+  }
+  if (earlier.to.host == to.host) {
+    return true;
+  }
   switch (rule.group) {
-    case RepeatGroup::all: return true;
-    case RepeatGroup::zone: return earlier.to.zone == to.zone;
-    case RepeatGroup::cell: return earlier.to.cell == to.cell;
+    case RepeatGroup::all:
+      return true;
+    case RepeatGroup::zone:
+      return earlier.to.zone == to.zone;
+    case RepeatGroup::cell:
+      return earlier.to.cell == to.cell;
   }
   return false;
 }
@@ -46,14 +67,23 @@
 Refusal RequestLedger::may_begin(const std::string& id, const HostPlace& to, bool allowed_by_list,
                                  Tenths now) const {
   const auto found = requests_.find(id);
-  if (found == requests_.end()) return Refusal::unknown_request;
+  if (found == requests_.end()) {
+    return Refusal::unknown_request;
+  }
   const Request& request = found->second;
-  if (request.client_gone) return Refusal::client_gone;
-  if (request.answered) return Refusal::already_answered;
-  if (now >= request.deadline) return Refusal::past_deadline;
+  if (request.client_gone) {
+    return Refusal::client_gone;
+  }
+  if (request.answered) {
+    return Refusal::already_answered;
+  }
+  if (now >= request.deadline) {
+    return Refusal::past_deadline;
+  }
   if (const Refusal refusal = effect_allows(request, request.attempts.size(), to, now);
-      refusal != Refusal::none)
+      refusal != Refusal::none) {
     return refusal;
+  }
   return allowed_by_list ? Refusal::none : Refusal::host_is_leaving;
 }
 
@@ -62,57 +92,86 @@
                                      Tenths now) {
   for (std::size_t i = 0; i < attempts; ++i) {
     const Attempt& earlier = request.attempts[i];
-    if (earlier.out) return Refusal::attempt_out;
-    if (earlier.may_have_run && !repeat_is_dropped(request.rule, earlier, to, now))
+    if (earlier.out) {
+      return Refusal::attempt_out;
+    }
+    if (earlier.may_have_run && !repeat_is_dropped(request.rule, earlier, to, now)) {
       return Refusal::effect_may_repeat;
+    }
   }
   return Refusal::none;
 }
 
 Refusal RequestLedger::may_send(const std::string& id, bool allowed_by_list, Tenths now) const {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || found->second.attempts.empty()) return Refusal::unknown_request;
+  if (found == requests_.end() || found->second.attempts.empty()) {
+    return Refusal::unknown_request;
+  }
   const Request& request = found->second;
-  if (request.client_gone) return Refusal::client_gone;
-  if (request.answered) return Refusal::already_answered;
-  if (!allowed_by_list) return Refusal::host_is_leaving;
+  if (request.client_gone) {
+    return Refusal::client_gone;
+  }
+  if (request.answered) {
+    return Refusal::already_answered;
+  }
+  if (!allowed_by_list) {
+    return Refusal::host_is_leaving;
+  }
   return effect_allows(request, request.attempts.size() - 1, request.attempts.back().to, now);
 }
 
 void RequestLedger::begun(const std::string& id, const HostPlace& to, Tenths now) {
-  if (const auto found = requests_.find(id); found != requests_.end())
+  if (const auto found = requests_.find(id); found != requests_.end()) {
     found->second.attempts.push_back({to, now, true, true});
+  }
 }
 
 void RequestLedger::ended(const std::string& id, bool may_have_run) {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || found->second.attempts.empty()) return;
+  if (found == requests_.end() || found->second.attempts.empty()) {
+    return;
+  }
   found->second.attempts.back().out = false;
   found->second.attempts.back().may_have_run = may_have_run;
 }
 
 Refusal RequestLedger::may_answer(const std::string& id, FinalAnswer answer) const {
   const auto found = requests_.find(id);
-  if (found == requests_.end()) return Refusal::unknown_request;
+  if (found == requests_.end()) {
+    return Refusal::unknown_request;
+  }
   const Request& request = found->second;
-  if (request.client_gone) return Refusal::client_gone;
+  if (request.client_gone) {
+    return Refusal::client_gone;
+  }
   // A connection that stands has been answered with UP and may still be told to move.
-  if (request.answered && answer != FinalAnswer::move) return Refusal::already_answered;
-  if (answer != FinalAnswer::busy || request.rule.effect == Effect::idempotent) return Refusal::none;
+  if (request.answered && answer != FinalAnswer::move) {
+    return Refusal::already_answered;
+  }
+  if (answer != FinalAnswer::busy || request.rule.effect == Effect::idempotent) {
+    return Refusal::none;
+  }
   const bool dropped_anywhere =
       request.rule.effect == Effect::deduplicated && request.rule.group == RepeatGroup::all;
-  for (const Attempt& earlier : request.attempts)
-    if ((earlier.out || earlier.may_have_run) && !dropped_anywhere) return Refusal::effect_may_repeat;
+  for (const Attempt& earlier : request.attempts) {
+    if ((earlier.out || earlier.may_have_run) && !dropped_anywhere) {
+      return Refusal::effect_may_repeat;
+    }
+  }
   return Refusal::none;
 }
 
 void RequestLedger::answered(const std::string& id) {
-  if (const auto found = requests_.find(id); found != requests_.end()) found->second.answered = true;
+  if (const auto found = requests_.find(id); found != requests_.end()) {
+    found->second.answered = true;
+  }
 }
 
 bool RequestLedger::close(const std::string& id) {
   const auto found = requests_.find(id);
-  if (found == requests_.end()) return false;
+  if (found == requests_.end()) {
+    return false;
+  }
   const bool owed = !found->second.answered && !found->second.client_gone;
   requests_.erase(found);
   return owed;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -64,15 +64,20 @@
   static const std::set<std::string> words = {"zone", "discovery", "weights",
                                               "name", "effect",    "repeat_group"};
   const bool word = words.count(name) != 0;
-  if (value.is_null() || (word ? value.is_string() : value.is_number() || value.is_boolean())) return;
+  if (value.is_null() || (word ? value.is_string() : value.is_number() || value.is_boolean())) {
+    return;
+  }
   throw std::runtime_error("the setting '" + std::string(wire) + "' is " + value.dump() + "; expected " +
                            (word ? "a word" : "a number, true or false"));
 }
 
 void put(Settings& to, const std::string& name, const json& value, bool is_time) {
-  if (value.is_boolean()) to[name] = value.get<bool>() ? 1.0 : 0.0;
-  if (value.is_number())
+  if (value.is_boolean()) {
+    to[name] = value.get<bool>() ? 1.0 : 0.0;
+  }
+  if (value.is_number()) {
     to[name] = is_time ? static_cast<double>(tenths_down(value.get<double>())) : value.get<double>();
+  }
   if (value.is_string()) {
     const std::string text = value.get<std::string>();
     to[name] = text == "at_most_once" ? "unrepeatable" : text;
@@ -83,7 +88,9 @@
 void put_all(Settings& to, const std::string& prefix, const json& from, const Name (&names)[N]) {
   for (const Name& name : names) {
     const json::json_pointer at(name.wire);
-    if (!from.contains(at)) continue;
+    if (!from.contains(at)) {
+      continue;
+    }
     holds(name.wire, name.ours, from.at(at));
     put(to, prefix + name.ours, from.at(at), name.is_time);
   }
@@ -91,31 +98,43 @@
 
 void put_list(Settings& to, const std::string& name, const json& list, bool is_time,
               const std::string& after = "") {
-  for (std::size_t i = 0; i < list.size(); ++i) put(to, name + std::to_string(i) + after, list[i], is_time);
+  for (std::size_t i = 0; i < list.size(); ++i) {
+    put(to, name + std::to_string(i) + after, list[i], is_time);
+  }
 }
 
 }  // namespace
 
-Tenths tenths_down(double ms) { return static_cast<Tenths>(std::floor(ms * kPerMs + kEps)); }
+Tenths tenths_down(double ms) {
+  return static_cast<Tenths>(std::floor(ms * kPerMs + kEps));
+}
 
 Settings settings_of(const json& env) {
   Settings to;
   put_all(to, "", env, kSettingNames);
   const json lanes = env.value("lanes", json::array());
-  for (std::size_t i = 0; i < lanes.size(); ++i)
+  for (std::size_t i = 0; i < lanes.size(); ++i) {
     put_all(to, "traffic." + std::to_string(i) + ".", lanes[i], kTrafficNames);
+  }
   const json realms = env.contains("realms") && env["realms"].is_array() ? env["realms"] : json::array();
-  for (std::size_t i = 0; i < realms.size(); ++i)
+  for (std::size_t i = 0; i < realms.size(); ++i) {
     put_all(to, "tenant." + std::to_string(i) + ".", realms[i], kTenantNames);
+  }
   if (env.contains("extra") && env["extra"].is_object()) {
     const json& extra = env["extra"];
-    if (extra.contains("messageAimMs")) put_list(to, "message_goal.", extra["messageAimMs"], true);
-    if (extra.contains("tenantQuotaConnections"))
+    if (extra.contains("messageAimMs")) {
+      put_list(to, "message_goal.", extra["messageAimMs"], true);
+    }
+    if (extra.contains("tenantQuotaConnections")) {
       put_list(to, "tenant.", extra["tenantQuotaConnections"], false, ".open");
+    }
   }
   const json reports = env.value("/feedback/fields"_json_pointer, json::array());
-  for (std::size_t i = 0; i < reports.size(); ++i)
-    if (reports[i] == "x0") to["report.load"] = static_cast<double>(i);  // the place of load over capacity
+  for (std::size_t i = 0; i < reports.size(); ++i) {
+    if (reports[i] == "x0") {
+      to["report.load"] = static_cast<double>(i);  // the place of load over capacity
+    }
+  }
   return to;
 }
 
