--- a/src/sidecar/language.cpp
+++ b/src/sidecar/language.cpp
@@ -131,8 +131,11 @@
 struct control : pegtl::normal<Rule> {
   template <class Input, class... States>
   [[noreturn]] static void raise(const Input& in, States&&...) {
-    if constexpr (expected<Rule> != nullptr) throw pegtl::parse_error(expected<Rule>, in);
-    else throw pegtl::parse_error("this cannot be read; expected a setting", in);
+    if constexpr (expected<Rule> != nullptr) {
+      throw pegtl::parse_error(expected<Rule>, in);
+    } else {
+      throw pegtl::parse_error("this cannot be read; expected a setting", in);
+    }
   }
 };
 
@@ -156,7 +159,9 @@
 std::string unquoted(std::string_view quoted_text) {
   std::string out;
   for (std::size_t i = 1; i + 1 < quoted_text.size(); ++i) {
-    if (quoted_text[i] == '\\') ++i;
+    if (quoted_text[i] == '\\') {
+      ++i;
+    }
     out += quoted_text[i];
   }
   return out;
@@ -184,7 +189,9 @@
   template <class Input>
   static void apply(const Input& in, State& state) {
     const Scalar scalar = scalar_of(in.string_view());
-    if (!scalar.fault.empty()) throw pegtl::parse_error(scalar.fault, in);
+    if (!scalar.fault.empty()) {
+      throw pegtl::parse_error(scalar.fault, in);
+    }
     state.values.push_back(value_of(in, state, scalar.type, in.string()));
     state.values.back().amount = scalar.amount;
   }
@@ -228,8 +235,9 @@
   template <class Input>
   static void apply(const Input& in, State& state) {
     const auto& items = state.open.back();
-    if (!items.empty() && items.back().kind != Item::Kind::gap)
+    if (!items.empty() && items.back().kind != Item::Kind::gap) {
       state.add(Item::Kind::gap, place_of(in, state), "");
+    }
   }
 };
 template <>
@@ -238,9 +246,11 @@
   static void apply(const Input& in, State& state) {
     // Behind an opening brace there is no item yet to hang it on; it becomes the block's first line.
     if (state.values.empty() && !state.list) {
-      if (!state.open.back().empty() && state.open.back().back().kind == Item::Kind::block)
+      if (!state.open.back().empty() && state.open.back().back().kind == Item::Kind::block) {
         state.open.back().back().note = in.string();
-      else state.add(Item::Kind::comment, place_of(in, state), in.string());
+      } else {
+        state.add(Item::Kind::comment, place_of(in, state), in.string());
+      }
       return;
     }
     state.note = in.string();
@@ -295,10 +305,11 @@
   template <class Input>
   static void apply(const Input& in, State& state) {
     // Danger: a file of nothing but braces would exhaust the stack.
-    if (state.begun.size() >= static_cast<std::size_t>(kDeepest))
+    if (state.begun.size() >= static_cast<std::size_t>(kDeepest)) {
       throw pegtl::parse_error(
           "blocks stand too deep within each other; expected " + std::to_string(kDeepest) + " at the most",
           in);
+    }
     Item made;
     made.kind = Item::Kind::block, made.place = state.statement_place, made.name = state.statement;
     made.value = std::exchange(state.label, std::nullopt);
@@ -332,41 +343,58 @@
 
 bool is_address(std::string_view raw) {
   const std::size_t colon = raw.find(':');
-  if (colon == std::string_view::npos || colon == 0) return false;
+  if (colon == std::string_view::npos || colon == 0) {
+    return false;
+  }
   return raw.substr(0, colon).find_first_not_of("0123456789.") == std::string_view::npos;
 }
 std::string address_fault(std::string_view raw) {
   const std::size_t colon = raw.find(':');
-  const std::string_view host = raw.substr(0, colon), port = raw.substr(colon + 1);
+  const std::string_view host = raw.substr(0, colon);
+  const std::string_view port = raw.substr(colon + 1);
   int parts = 0;
   for (std::size_t at = 0; at <= host.size(); ++parts) {
     const std::size_t dot = std::min(host.find('.', at), host.size());
     unsigned part = 256;
     const auto [end, fault] = std::from_chars(host.data() + at, host.data() + dot, part);
-    if (fault != std::errc() || end != host.data() + dot || part > 255)
+    if (fault != std::errc() || end != host.data() + dot || part > 255) {
       return "no address; expected a.b.c.d:port";
+    }
     at = dot + 1;
   }
   unsigned number = 0;
   const auto [end, fault] = std::from_chars(port.data(), port.data() + port.size(), number);
-  if (parts != 4 || fault != std::errc() || end != port.data() + port.size() || number == 0 || number > 65535)
+  if (parts != 4 || fault != std::errc() || end != port.data() + port.size() || number == 0 ||
+      number > 65535) {
     return "no address; expected a.b.c.d:port with a port from 1 to 65535";
+  }
   return "";
 }
 
 void write(std::string& out, const std::vector<Item>& items, int depth);
 
 std::string value_text(const Value& value, int depth, std::size_t used) {
-  if (value.type == Type::text) return in_quotes(value.raw);
-  if (value.type == Type::reference) return "$" + value.raw;
-  if (value.type != Type::list) return value.raw;
+  if (value.type == Type::text) {
+    return in_quotes(value.raw);
+  }
+  if (value.type == Type::reference) {
+    return "$" + value.raw;
+  }
+  if (value.type != Type::list) {
+    return value.raw;
+  }
   std::string line = "[";
   bool notes = false;
-  for (std::size_t i = 0; i < value.items.size(); ++i)
+  for (std::size_t i = 0; i < value.items.size(); ++i) {
     line += (i ? ", " : "") + value_text(value.items[i], 0, 0);
+  }
   line += "]";
-  for (const std::string& one : value.notes) notes = notes || !one.empty();
-  if (!notes && line.size() + used <= kWidest) return line;
+  for (const std::string& one : value.notes) {
+    notes = notes || !one.empty();
+  }
+  if (!notes && line.size() + used <= kWidest) {
+    return line;
+  }
   const std::string indent(static_cast<std::size_t>(2 * depth + 2), ' ');
   std::string out = "[\n";
   const auto put_notes = [&](const std::string& text) {
@@ -377,10 +405,14 @@
     }
   };
   for (std::size_t i = 0; i < value.items.size(); ++i) {
-    if (i < value.notes.size()) put_notes(value.notes[i]);
+    if (i < value.notes.size()) {
+      put_notes(value.notes[i]);
+    }
     out += indent + value_text(value.items[i], 0, 0) + ",\n";
   }
-  if (!value.notes.empty() && value.notes.size() > value.items.size()) put_notes(value.notes.back());
+  if (!value.notes.empty() && value.notes.size() > value.items.size()) {
+    put_notes(value.notes.back());
+  }
   return out + std::string(static_cast<std::size_t>(2 * depth), ' ') + "]";
 }
 
@@ -390,9 +422,13 @@
     const Item& item = items[i];
     const std::string note = item.note.empty() ? "" : "  " + item.note;
     switch (item.kind) {
-      case Item::Kind::comment: out += indent + item.name + "\n"; break;
+      case Item::Kind::comment:
+        out += indent + item.name + "\n";
+        break;
       case Item::Kind::gap:
-        if (i + 1 < items.size()) out += "\n";
+        if (i + 1 < items.size()) {
+          out += "\n";
+        }
         break;
       case Item::Kind::include:
         out += indent + "include " + value_text(*item.value, depth, 0) + note + "\n";
@@ -421,9 +457,14 @@
                              : lead >= 0xE0 && lead < 0xF0 ? 2
                              : lead >= 0xF0 && lead < 0xF5 ? 3
                                                            : 4;
-    if (more == 4 || at + more >= text.size() + (more == 0)) return false;
-    for (std::size_t i = 1; i <= more; ++i)
-      if ((static_cast<unsigned char>(text[at + i]) & 0xC0) != 0x80) return false;
+    if (more == 4 || at + more >= text.size() + (more == 0)) {
+      return false;
+    }
+    for (std::size_t i = 1; i <= more; ++i) {
+      if ((static_cast<unsigned char>(text[at + i]) & 0xC0) != 0x80) {
+        return false;
+      }
+    }
     at += more + 1;
   }
   return true;
@@ -431,8 +472,9 @@
 
 Place place_at(std::string_view text, std::size_t at, int file) {
   Place out{file, 1, 1};
-  for (std::size_t i = 0; i < at && i < text.size(); ++i)
+  for (std::size_t i = 0; i < at && i < text.size(); ++i) {
     text[i] == '\n' ? (++out.line, out.column = 1) : ++out.column;
+  }
   return out;
 }
 
@@ -440,32 +482,47 @@
 
 const char* name_of(Type type) {
   switch (type) {
-    case Type::text: return "a text in quotes";
-    case Type::word: return "a word";
-    case Type::number: return "a number";
-    case Type::duration: return "a duration such as 800ms or 3.2s";
-    case Type::size: return "a size such as 256B or 4KiB";
-    case Type::share: return "a share such as 26%";
-    case Type::rate: return "a rate such as 40/s";
-    case Type::address: return "an address such as 127.0.0.1:8000";
-    case Type::flag: return "on or off";
-    case Type::list: return "a list in [ ]";
-    case Type::reference: return "a constant";
+    case Type::text:
+      return "a text in quotes";
+    case Type::word:
+      return "a word";
+    case Type::number:
+      return "a number";
+    case Type::duration:
+      return "a duration such as 800ms or 3.2s";
+    case Type::size:
+      return "a size such as 256B or 4KiB";
+    case Type::share:
+      return "a share such as 26%";
+    case Type::rate:
+      return "a rate such as 40/s";
+    case Type::address:
+      return "an address such as 127.0.0.1:8000";
+    case Type::flag:
+      return "on or off";
+    case Type::list:
+      return "a list in [ ]";
+    case Type::reference:
+      return "a constant";
   }
   return "";
 }
 
 Scalar scalar_of(std::string_view raw) {
-  if (raw == "on" || raw == "off") return {Type::flag, raw == "on" ? 1.0 : 0.0, ""};
+  if (raw == "on" || raw == "off") {
+    return {Type::flag, raw == "on" ? 1.0 : 0.0, ""};
+  }
   const bool figure =
       !raw.empty() && (raw[0] == '-' || raw[0] == '+' || raw[0] == '.' || (raw[0] >= '0' && raw[0] <= '9'));
   const std::string text(raw);
   if (!figure) {
-    for (const char letter : raw)
+    for (const char letter : raw) {
       if (!(std::isalnum(static_cast<unsigned char>(letter)) || letter == '_' || letter == '-' ||
-            letter == '.'))
+            letter == '.')) {
         return {Type::word, 0,
                 "'" + text + "' is no word; expected letters, digits, _ and -, or a text in quotes"};
+      }
+    }
     return {Type::word, 0, ""};
   }
   if (is_address(raw)) {
@@ -475,28 +532,39 @@
   double amount = 0;
   const auto [end, fault] =
       std::from_chars(raw.data(), raw.data() + raw.size(), amount, std::chars_format::fixed);
-  if (fault == std::errc::result_out_of_range || (fault == std::errc() && !std::isfinite(amount)))
+  if (fault == std::errc::result_out_of_range || (fault == std::errc() && !std::isfinite(amount))) {
     return {Type::number, 0, "'" + text + "' is beyond all numbers; expected a smaller one"};
-  if (fault != std::errc())
+  }
+  if (fault != std::errc()) {
     return {Type::number, 0, "'" + text + "' is no number; expected digits, and a unit where one is needed"};
+  }
   const std::string_view unit = raw.substr(static_cast<std::size_t>(end - raw.data()));
   for (const Unit& one : kUnits) {
-    if (unit != one.name) continue;
+    if (unit != one.name) {
+      continue;
+    }
     const double value = amount * one.factor;
     if (one.type == Type::duration) {
-      if (std::signbit(amount))
+      if (std::signbit(amount)) {
         return {one.type, 0, "'" + text + "' is below nothing; expected a duration from 0ms"};
-      if (value > kLongestMs) return {one.type, 0, "'" + text + "' is over a year; expected less"};
+      }
+      if (value > kLongestMs) {
+        return {one.type, 0, "'" + text + "' is over a year; expected less"};
+      }
       const double steps = value / kStepMs;
-      if (std::abs(steps - std::round(steps)) > 1e-6 || (value > 0 && value < kStepMs))
+      if (std::abs(steps - std::round(steps)) > 1e-6 || (value > 0 && value < kStepMs)) {
         return {one.type, 0, "'" + text + "' is finer than the clock; expected whole steps of 0.1ms"};
+      }
     }
-    if (one.type != Type::duration && one.type != Type::number && std::signbit(amount))
+    if (one.type != Type::duration && one.type != Type::number && std::signbit(amount)) {
       return {one.type, 0, "'" + text + "' is below nothing; expected " + name_of(one.type)};
-    if (!std::isfinite(value) || std::abs(value) > 1e15)
+    }
+    if (!std::isfinite(value) || std::abs(value) > 1e15) {
       return {one.type, 0, "'" + text + "' is beyond all bounds; expected a smaller one"};
-    if (one.type == Type::size && value != std::floor(value))
+    }
+    if (one.type == Type::size && value != std::floor(value)) {
       return {one.type, 0, "'" + text + "' is no whole number of bytes; expected one"};
+    }
     return {one.type, value, ""};
   }
   return {Type::number, 0,
@@ -506,7 +574,9 @@
 
 Parsed parse(std::string_view text, int file_number) {
   Parsed out;
-  if (text.starts_with("\xEF\xBB\xBF")) text.remove_prefix(3);  // a BOM says nothing here
+  if (text.starts_with("\xEF\xBB\xBF")) {
+    text.remove_prefix(3);  // a BOM says nothing here
+  }
   if (text.size() > kLargestFile) {
     out.fault = {{file_number, 1, 1},
                  "the file holds " + std::to_string(text.size()) + " bytes; expected " +
@@ -548,21 +618,27 @@
 }
 
 std::string duration_text(double ms) {
-  if (ms >= 1000 && std::fmod(ms, 100) == 0) return number_text(std::round(ms / 100) / 10) + "s";
+  if (ms >= 1000 && std::fmod(ms, 100) == 0) {
+    return number_text(std::round(ms / 100) / 10) + "s";
+  }
   return number_text(std::round(ms * 10) / 10) + "ms";
 }
 
 std::string size_text(double bytes) {
   for (const auto& [name, factor] :
-       {std::pair("GiB", 1073741824.0), std::pair("MiB", 1048576.0), std::pair("KiB", 1024.0)})
-    if (bytes >= factor && std::fmod(bytes, factor) == 0) return number_text(bytes / factor) + name;
+       {std::pair("GiB", 1073741824.0), std::pair("MiB", 1048576.0), std::pair("KiB", 1024.0)}) {
+    if (bytes >= factor && std::fmod(bytes, factor) == 0) {
+      return number_text(bytes / factor) + name;
+    }
+  }
   return number_text(bytes) + "B";
 }
 
 std::string in_quotes(std::string_view text) {
   std::string out = "\"";
-  for (const char letter : text)
+  for (const char letter : text) {
     out += (letter == '"' || letter == '\\' ? "\\" : "") + std::string(1, letter);
+  }
   return out + "\"";
 }
 
--- a/src/sidecar/schema.cpp
+++ b/src/sidecar/schema.cpp
@@ -123,21 +123,29 @@
 }
 
 const Row* row_of(const std::string& block, const std::string& name) {
-  for (const Row& row : rows())
-    if (block == row.block && name == row.name) return &row;
+  for (const Row& row : rows()) {
+    if (block == row.block && name == row.name) {
+      return &row;
+    }
+  }
   return nullptr;
 }
 
 const BlockRow* block_of(const std::string& name) {
-  for (const BlockRow& row : blocks())
-    if (name == row.name) return &row;
+  for (const BlockRow& row : blocks()) {
+    if (name == row.name) {
+      return &row;
+    }
+  }
   return nullptr;
 }
 
 std::vector<std::string> words_of(const Row& row) {
   std::vector<std::string> out;
   std::istringstream in(row.words);
-  for (std::string one; in >> one;) out.push_back(one);
+  for (std::string one; in >> one;) {
+    out.push_back(one);
+  }
   return out;
 }
 
@@ -146,7 +154,9 @@
   std::size_t least = std::max<std::size_t>(name.size() < 4 ? 1 : 2, name.size() / 3) + 1;
   for (const std::string& other : of) {
     std::vector<std::size_t> row(other.size() + 1);
-    for (std::size_t j = 0; j <= other.size(); ++j) row[j] = j;
+    for (std::size_t j = 0; j <= other.size(); ++j) {
+      row[j] = j;
+    }
     for (std::size_t i = 1; i <= name.size(); ++i) {
       std::size_t before = row[0]++;
       for (std::size_t j = 1; j <= other.size(); ++j) {
@@ -155,7 +165,9 @@
         row[j] = std::min({row[j] + 1, row[j - 1] + 1, changed});
       }
     }
-    if (row.back() < least) least = row.back(), best = other;
+    if (row.back() < least) {
+      least = row.back(), best = other;
+    }
   }
   return best;
 }
@@ -164,16 +176,24 @@
 
 std::string bound_text(const Row& row, double amount) {
   switch (row.type) {
-    case Type::duration: return duration_text(amount);
-    case Type::size: return size_text(amount);
-    case Type::share: return number_text(std::round(amount * 1e6) / 1e4) + "%";
-    default: return number_text(amount);
+    case Type::duration:
+      return duration_text(amount);
+    case Type::size:
+      return size_text(amount);
+    case Type::share:
+      return number_text(std::round(amount * 1e6) / 1e4) + "%";
+    default:
+      return number_text(amount);
   }
 }
 
 std::string values_text(const Row& row) {
-  if (*row.words) return row.words;
-  if (row.least == 0 && row.most == 0) return name_of(row.type);
+  if (*row.words) {
+    return row.words;
+  }
+  if (row.least == 0 && row.most == 0) {
+    return name_of(row.type);
+  }
   return bound_text(row, row.least) + " to " + bound_text(row, row.most);
 }
 
@@ -187,11 +207,13 @@
         << (block.operators ? "; also in the operators' own file" : "") << ".\n\n"
         << "| name | values | without it | reload | since | meaning |\n| --- | --- | --- | --- | --- | --- "
            "|\n";
-    for (const Row& row : rows())
-      if (std::string(block.name) == row.block)
+    for (const Row& row : rows()) {
+      if (std::string(block.name) == row.block) {
         out << "| `" << row.name << "` | " << values_text(row) << " | "
             << (*row.without ? row.without : "needed") << " | " << (row.reload ? "yes" : "restart") << " | "
             << row.since << " | " << row.help << " |\n";
+      }
+    }
     out << "\n";
   }
   std::string text = out.str();
@@ -201,36 +223,50 @@
 
 std::string explain(const std::string& name) {
   std::ostringstream out;
-  for (const BlockRow& block : blocks())
+  for (const BlockRow& block : blocks()) {
     if (name == block.name) {
       out << name << (block.labelled ? " \"LABEL\"" : "") << " { }: " << block.help << "\n";
-      for (const Row& row : rows())
-        if (name == row.block)
+      for (const Row& row : rows()) {
+        if (name == row.block) {
           out << "  " << row.name << " = " << values_text(row) << (*row.without ? "" : " (needed)") << "\n";
+        }
+      }
     }
-  for (const Row& row : rows())
-    if (name == row.name || name == std::string(row.block) + "." + row.name)
+  }
+  for (const Row& row : rows()) {
+    if (name == row.name || name == std::string(row.block) + "." + row.name) {
       out << row.block << "." << row.name << ": " << row.help << "\n  values: " << values_text(row)
           << "\n  without it: " << (*row.without ? row.without : "the configuration is refused")
           << "\n  a reload takes it: " << (row.reload ? "yes" : "no, a restart") << "\n  since: " << row.since
           << "\n";
+    }
+  }
   return out.str();
 }
 
 std::string canonical(const Value& value) {
   switch (value.type) {
-    case Type::text: return in_quotes(value.raw);
-    case Type::duration: return duration_text(value.amount);
-    case Type::size: return size_text(value.amount);
-    case Type::share: return number_text(std::round(value.amount * 1e8) / 1e6) + "%";
-    case Type::rate: return number_text(value.amount) + "/s";
-    case Type::number: return number_text(value.amount);
+    case Type::text:
+      return in_quotes(value.raw);
+    case Type::duration:
+      return duration_text(value.amount);
+    case Type::size:
+      return size_text(value.amount);
+    case Type::share:
+      return number_text(std::round(value.amount * 1e8) / 1e6) + "%";
+    case Type::rate:
+      return number_text(value.amount) + "/s";
+    case Type::number:
+      return number_text(value.amount);
     case Type::list: {
       std::string out = "[";
-      for (std::size_t i = 0; i < value.items.size(); ++i) out += (i ? ", " : "") + canonical(value.items[i]);
+      for (std::size_t i = 0; i < value.items.size(); ++i) {
+        out += (i ? ", " : "") + canonical(value.items[i]);
+      }
       return out + "]";
     }
-    default: return value.raw;
+    default:
+      return value.raw;
   }
 }
 
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -17,9 +17,12 @@
 }
 
 std::string_view trimmed(std::string_view text) {
-  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-  while (!text.empty() && (text.back() == ' ' || text.back() == '\t' || text.back() == '\r'))
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) {
+    text.remove_prefix(1);
+  }
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t' || text.back() == '\r')) {
     text.remove_suffix(1);
+  }
   return text;
 }
 
@@ -31,7 +34,9 @@
 // One line without its end; false when it has not come whole.
 bool line_of(std::string_view& rest, std::string_view& line) {
   const std::size_t end = rest.find('\n');
-  if (end == std::string_view::npos) return false;
+  if (end == std::string_view::npos) {
+    return false;
+  }
   line = trimmed(rest.substr(0, end));
   rest.remove_prefix(end + 1);
   return true;
@@ -39,8 +44,10 @@
 
 // Danger: a long list in many pieces would be copied anew with each that comes; only a whole one is.
 void pieces_of(const std::string_view all, std::size_t largest, Answer& answer) {
-  std::string_view rest = all, line;
-  std::size_t size = 0, whole = 0;
+  std::string_view rest = all;
+  std::string_view line;
+  std::size_t size = 0;
+  std::size_t whole = 0;
   std::vector<std::string_view> pieces;
   while (line_of(rest, line)) {
     if (!number_of(line.substr(0, line.find(';')), 16, largest, size) || (whole += size) > largest) {
@@ -48,18 +55,27 @@
       return;
     }
     if (size == 0) {
-      while (line_of(rest, line) && !line.empty()) {}
-      if (!line.empty()) return;
+      while (line_of(rest, line) && !line.empty()) {
+      }
+      if (!line.empty()) {
+        return;
+      }
       answer.state = Answer::State::done;
       answer.closes = answer.closes || !rest.empty();
       answer.body.reserve(whole);
-      for (const std::string_view piece : pieces) answer.body += piece;
+      for (const std::string_view piece : pieces) {
+        answer.body += piece;
+      }
+      return;
+    }
+    if (rest.size() < size + 1) {
       return;
     }
-    if (rest.size() < size + 1) return;
     pieces.push_back(rest.substr(0, size));
     rest.remove_prefix(size);
-    if (!line_of(rest, line)) return;
+    if (!line_of(rest, line)) {
+      return;
+    }
   }
 }
 
@@ -71,40 +87,62 @@
 
 Answer answer_of(std::string_view in, bool ended, std::size_t largest) {
   Answer answer;
-  std::string_view rest = in, line;
-  bool chunked = false, sized = false, head = false;
-  std::size_t size = 0, status = 0;
+  std::string_view rest = in;
+  std::string_view line;
+  bool chunked = false;
+  bool sized = false;
+  bool head = false;
+  std::size_t size = 0;
+  std::size_t status = 0;
   const auto bad = [&] {
     answer.state = Answer::State::bad;
     return answer;
   };
   if (line_of(rest, line)) {
-    if (!line.starts_with("HTTP/1.") || line.size() < 12 || !number_of(line.substr(9, 3), 10, 999, status))
+    if (!line.starts_with("HTTP/1.") || line.size() < 12 || !number_of(line.substr(9, 3), 10, 999, status)) {
       return bad();
+    }
     answer.status = static_cast<int>(status);
     answer.closes = line.starts_with("HTTP/1.0");
     while (!head && line_of(rest, line)) {
       head = line.empty();
       const std::size_t colon = line.find(':');
-      if (head || colon == std::string_view::npos) continue;
-      const std::string name = lower(line.substr(0, colon)), value = lower(trimmed(line.substr(colon + 1)));
-      if (name == "content-length" && !(sized = number_of(value, 10, largest, size))) return bad();
-      if (name == "transfer-encoding") chunked = value.find("chunked") != std::string::npos;
-      if (name == "connection") answer.closes = value.find("close") != std::string::npos;
+      if (head || colon == std::string_view::npos) {
+        continue;
+      }
+      const std::string name = lower(line.substr(0, colon));
+      const std::string value = lower(trimmed(line.substr(colon + 1)));
+      if (name == "content-length" && !(sized = number_of(value, 10, largest, size))) {
+        return bad();
+      }
+      if (name == "transfer-encoding") {
+        chunked = value.find("chunked") != std::string::npos;
+      }
+      if (name == "connection") {
+        answer.closes = value.find("close") != std::string::npos;
+      }
     }
   }
-  if (!head) return in.size() > kLongestHead || ended ? bad() : answer;
-  if (chunked) pieces_of(rest, largest, answer);
-  else if (sized ? rest.size() >= size : ended) {
+  if (!head) {
+    return in.size() > kLongestHead || ended ? bad() : answer;
+  }
+  if (chunked) {
+    pieces_of(rest, largest, answer);
+  } else if (sized ? rest.size() >= size : ended) {
     answer.body = sized ? rest.substr(0, size) : rest;
     // Danger: what stands behind an answer would be read as that to the next call.
     answer.closes = answer.closes || rest.size() > answer.body.size();
     answer.state = Answer::State::done;
   }
-  if (!chunked && !sized) answer.closes = true;
-  if (answer.body.size() > largest) return bad();
-  if (answer.state == Answer::State::more && (ended || rest.size() > (chunked ? 2 : 1) * largest))
+  if (!chunked && !sized) {
+    answer.closes = true;
+  }
+  if (answer.body.size() > largest) {
     return bad();
+  }
+  if (answer.state == Answer::State::more && (ended || rest.size() > (chunked ? 2 : 1) * largest)) {
+    return bad();
+  }
   return answer;
 }
 
--- a/tests/backoff.cpp
+++ b/tests/backoff.cpp
@@ -15,7 +15,7 @@
 
 TEST(Backoff, NoWaitOutlastsWhatNoticingALossAndTheQueueLeaveOfTheTime) {
   Chance chance(3);
-  for (const double nodes : {1.0, 30.0, 350.0, 1024.0})
+  for (const double nodes : {1.0, 30.0, 350.0, 1024.0}) {
     for (const Tenths most : {Tenths{0}, 200 * kMs, 560 * kMs, 7 * kSecond, INT64_MAX / 2}) {
       const Backoff backoff(nodes, most);
       for (int losses = 1; losses <= 100; ++losses) {
@@ -26,12 +26,14 @@
         EXPECT_LE(backoff.first(chance.share()) + Backoff::kTurn, kTold);
       }
     }
+  }
 }
 
 TEST(Backoff, WhoeverLostTogetherAsksApartAndTheMoreOftenTheFurther) {
   Chance chance(5);
   for (const int losses : {1, 3, 9}) {
-    Tenths least = INT64_MAX, most = 0;
+    Tenths least = INT64_MAX;
+    Tenths most = 0;
     for (int node = 0; node < 350; ++node) {
       const Tenths wait = Backoff(350, INT64_MAX / 2).again(losses, chance.share());
       least = std::min(least, wait), most = std::max(most, wait);
@@ -44,7 +46,7 @@
 // Operators' days (herd+mass): nodes that were killed asked up to 7 s after their start, and others 3.5 to 7
 // s after a loss, while the service was idle; they sent to hosts that had left.
 TEST(Backoff, ANodeOfManyAsksSoonAfterItsStartAndAfterEachLoss) {
-  for (const double nodes : {1.0, 30.0, 350.0})
+  for (const double nodes : {1.0, 30.0, 350.0}) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
       Fake fake;
       fake.settings["nodes"] = nodes;
@@ -58,12 +60,15 @@
           fake.tell(Event{});
         }
         EXPECT_LE(fake.now - from, 1600 * kMs) << nodes << " nodes, seed " << seed << ", losses " << lost;
-        if (lost > 0) { EXPECT_GE(fake.now - from, 50 * kMs); }
+        if (lost > 0) {
+          EXPECT_GE(fake.now - from, 50 * kMs);
+        }
         Event event;
         event.kind = EventKind::list_lost;
         fake.tell(event);
       }
     }
+  }
 }
 
 // A service that is down turns calls away, each in another way; from the instant at which it is back, by the
@@ -77,17 +82,27 @@
     });
     const std::string word = how;
     const sockaddr_in there = net.discovery_at;
-    if (word == "refused") net.discovery.close(), net.call.close(), net.asked.clear();
+    if (word == "refused") {
+      net.discovery.close(), net.call.close(), net.asked.clear();
+    }
     const Tenths down_until = net.loop.now() + 8 * kSecond;  // long enough for the longest wait
     while (net.loop.now() < down_until) {
-      if (word == "reset" && !net.asked.empty()) net.call.abort(), net.asked.clear();
-      if (word == "busy" && net.answers.empty()) net.answers = {busy};
+      if (word == "reset" && !net.asked.empty()) {
+        net.call.abort(), net.asked.clear();
+      }
+      if (word == "busy" && net.answers.empty()) {
+        net.answers = {busy};
+      }
       net.turn();
     }
     net.answers.clear();
-    if (word == "refused") { EXPECT_FALSE(listen_at(there, net.discovery)); }
+    if (word == "refused") {
+      EXPECT_FALSE(listen_at(there, net.discovery));
+    }
     // What was asked while it was down stays without an answer, on a connection that stays up.
-    if (word == "silent") net.keep(std::move(net.call)), net.call = Socket(), net.asked.clear();
+    if (word == "silent") {
+      net.keep(std::move(net.call)), net.call = Socket(), net.asked.clear();
+    }
     const Tenths back = net.loop.now();
     const std::string list = Net::http(R"({"generation":2,"reset":true,"instances":[]})");
     net.answers = {list};
--- a/tests/cold_fleet.cpp
+++ b/tests/cold_fleet.cpp
@@ -62,7 +62,9 @@
     for (owed += kBorne * kWarm * part[static_cast<std::size_t>(i)] / parts; owed >= 1; --owed) {
       const std::string id = "s" + std::to_string(++number);
       const std::string host = nodes.back()->arrive(id, number);
-      if (host.empty()) continue;
+      if (host.empty()) {
+        continue;
+      }
       nodes.back()->stand(id);
       ++held[host], ++own[static_cast<std::size_t>(i)][host];
     }
@@ -78,13 +80,20 @@
       // Seven in ten forget what they sent and hold, within the time and a second time later.
       if (one.restarts && i % 10 < 7 && (age == 5 * kTick || age == 40 * kTick)) {
         fake = node_of(one, i, seed + 1, now);
-        for (const auto& [host, count] : std::exchange(mine, {})) held[host] -= count;
+        for (const auto& [host, count] : std::exchange(mine, {})) {
+          held[host] -= count;
+        }
         fake->list(Fake::listing("cold", "near", born), HostState::healthy);
       }
       fake->now = now;
-      if (age == 0) fake->list(Fake::listing("cold", "near", born), HostState::healthy);
-      if (age % (5 * kTick) == 0)
-        for (const auto& [host, count] : held) fake->held(host, count - mine[host]);
+      if (age == 0) {
+        fake->list(Fake::listing("cold", "near", born), HostState::healthy);
+      }
+      if (age % (5 * kTick) == 0) {
+        for (const auto& [host, count] : held) {
+          fake->held(host, count - mine[host]);
+        }
+      }
       if (one.crowd && age % (5 * kTick) == 0) {  // a host with connections of this node is late all along
         Event late;
         late.kind = EventKind::delay_told, late.host = "h0", late.figure = 600;
@@ -94,20 +103,29 @@
       // Twenty times as much comes as the cold host may have.
       const double comes = 20 * allowed(age) * kTick / kFallTime * part[static_cast<std::size_t>(i)] / parts;
       for (double left = comes; left > 0; --left) {
-        if (left < 1 && chance.share() >= left) break;
+        if (left < 1 && chance.share() >= left) {
+          break;
+        }
         const std::string id = "t" + std::to_string(++number);
         const std::string host = fake->arrive(id, number);
-        if (host.empty()) continue;
-        if (host == "cold") sent.push_back(now), ++most.sent;
+        if (host.empty()) {
+          continue;
+        }
+        if (host == "cold") {
+          sent.push_back(now), ++most.sent;
+        }
         fake->stand(id);
         fake->end(id, Outcome::honoured, true);
       }
     }
-    while (!sent.empty() && static_cast<double>(now - sent.front()) >= kFallTime) sent.pop_front();
+    while (!sent.empty() && static_cast<double>(now - sent.front()) >= kFallTime) {
+      sent.pop_front();
+    }
     const double over = static_cast<double>(sent.size()) - allowed(age);
-    if (over > most.over)
+    if (over > most.over) {
       most = {over, static_cast<double>(sent.size()), allowed(age), static_cast<double>(age) / kSecond,
               most.sent};
+    }
   }
   return most;
 }
@@ -118,7 +136,7 @@
   for (const Case& one :
        {Case{4, true, false, false}, Case{4, false, true, false}, Case{20, false, false, true},
         Case{20, false, true, true}, Case{30, true, true, false}, Case{30, false, false, true},
-        Case{300, true, false, false}, Case{350, false, true, true}})
+        Case{300, true, false, false}, Case{350, false, true, true}}) {
     for (std::uint64_t seed = 1; seed <= (one.nodes < 100 ? 4 : 1); ++seed) {
       const Measured most = play(one, seed);
       std::printf("%d nodes, %s, %s%s, seed %d: most %.0f of %.1f at age %.1f s, sent in all %d\n", one.nodes,
@@ -127,4 +145,5 @@
                   most.sent);
       EXPECT_LE(most.over, 0);
     }
+  }
 }
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -20,16 +20,19 @@
 std::string list(const Net& net, int version, const std::vector<std::string>& hosts,
                  const std::string& lifecycle) {
   nlohmann::json named = nlohmann::json::array();
-  for (const std::string& host : hosts)
+  for (const std::string& host : hosts) {
     named.push_back({{"instanceId", host},
                      {"hostPort", Net::text_of(net.hosts_at)},
                      {"zone", "near"},
                      {"lifecycle", lifecycle}});
+  }
   return Net::http(nlohmann::json({{"generation", version}, {"reset", true}, {"instances", named}}).dump());
 }
 const std::vector<std::string> kAll = {"h0", "h1", "h2", "h3"};
 
-bool asks(const Net& net) { return net.asked.find("\r\n\r\n") != std::string::npos; }
+bool asks(const Net& net) {
+  return net.asked.find("\r\n\r\n") != std::string::npos;
+}
 
 }  // namespace
 
@@ -80,14 +83,18 @@
   int client = 0, host = 0;
   explicit Standing(Net& net) {
     // Two places in the loop are given again in the opposite order: the host's comes before the client's.
-    for (const int gone : {net.client(""), net.client("")}) net.reset(gone), net.run(20);
+    for (const int gone : {net.client(""), net.client("")}) {
+      net.reset(gone), net.run(20);
+    }
     Socket socket;
     EXPECT_EQ(dial(net.front, 1024, 0, socket), Dial::begun);
     client = net.keep(std::move(socket));
     const std::string line = opening();
     Socket taken;
     for (int i = 0; i < 400 && !taken; ++i) {
-      if (i == 2) net.socket(client).send(line.data(), line.size());
+      if (i == 2) {
+        net.socket(client).send(line.data(), line.size());
+      }
       net.turn();
       taken = Socket(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
     }
@@ -120,9 +127,10 @@
     Held held(net);
     const int client = net.client(line);
     nlohmann::json hosts = nlohmann::json::array();
-    for (const std::string& host : kAll)
+    for (const std::string& host : kAll) {
       hosts.push_back(
           {{"instanceId", host}, {"hostPort", Net::text_of(net.hosts_at)}, {"lifecycle", lifecycle}});
+    }
     hosts.push_back(
         {{"instanceId", "h9"}, {"hostPort", Net::text_of(there)}, {"zone", "near"}, {"lifecycle", "up"}});
     net.answers = {
@@ -132,7 +140,8 @@
     held.let();
     Socket taken;
     EXPECT_TRUE(net.until([&] {
-      if (!taken) taken = Socket(accept4(other.number(), nullptr, nullptr, SOCK_NONBLOCK));
+      if (!taken)
+        taken = Socket(accept4(other.number(), nullptr, nullptr, SOCK_NONBLOCK));
       return static_cast<bool>(taken);
     })) << "it is placed anew";
     EXPECT_EQ(all_of(net, net.host_accepts()), "") << lifecycle;
@@ -147,8 +156,11 @@
   for (const bool by_reset : {true, false}) {
     Net net;
     Standing both(net);
-    if (by_reset) net.reset(both.client);
-    else net.finish(both.client);
+    if (by_reset) {
+      net.reset(both.client);
+    } else {
+      net.finish(both.client);
+    }
     EXPECT_EQ(all_of(net, both.host), "") << (by_reset ? "RST" : "FIN");
   }
 }
@@ -189,7 +201,8 @@
   net.node.reset();
   std::string bytes;
   bool end = false;
-  while (net.socket(client).receive(bytes, 65536, end).value_or(0) > 0) {}
+  while (net.socket(client).receive(bytes, 65536, end).value_or(0) > 0) {
+  }
   return bytes;
 }
 
@@ -204,7 +217,8 @@
     });
     std::string line = opening();
     line.replace(line.find("d=2000"), 6, "d=9000");
-    const int client = net.client(line), host = net.host_accepts();
+    const int client = net.client(line);
+    const int host = net.host_accepts();
     EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");  // and it never answers
     net.node->stop();
     const std::string last = after_the_end(net, client);
@@ -273,7 +287,8 @@
     net.answers = {list(net, 2, kAll, "up") + behind};
     EXPECT_TRUE(net.until([&] { return net.calls == 2 && asks(net); }, 2000)) << "out of step, dialled anew";
     EXPECT_NE(net.asked.find("after=2&"), std::string::npos) << net.asked;
-    const int client = net.client(opening()), host = net.host_accepts();
+    const int client = net.client(opening());
+    const int host = net.host_accepts();
     net.write(host, "UP x\r\n");
     EXPECT_EQ(net.read(client), "UP x\r\n") << "the second list, of no hosts, was never asked for";
   }
@@ -290,14 +305,18 @@
   std::string up;
   EXPECT_TRUE(net.until([&] {  // probes and tries come to one listener
     Socket taken(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
-    if (taken) net.keep(std::move(taken));
+    if (taken)
+      net.keep(std::move(taken));
     for (Socket& one : net.made) {
       std::string line;
       bool end = false;
-      if (!one || one.number() == client) continue;
+      if (!one || one.number() == client)
+        continue;
       one.receive(line, 4096, end);
-      if (line.starts_with("PING")) one.send("PONG\r\n", 6);
-      if (line.starts_with("OPEN")) one.send("UP x\r\n", 6);
+      if (line.starts_with("PING"))
+        one.send("PONG\r\n", 6);
+      if (line.starts_with("OPEN"))
+        one.send("UP x\r\n", 6);
     }
     bool end = false;
     net.socket(client).receive(up, 4096, end);
@@ -320,9 +339,13 @@
   net.until(
       [&] {
         Socket taken(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
-        if (taken) net.keep(std::move(taken));
+        if (taken) {
+          net.keep(std::move(taken));
+        }
         bool end = false;
-        for (Socket& one : net.made) one.receive(sent, 4096, end);
+        for (Socket& one : net.made) {
+          one.receive(sent, 4096, end);
+        }
         return !sent.empty();
       },
       4500);  // the next SYN of one that is still dialled comes within that
@@ -334,19 +357,25 @@
     SCOPED_TRACE(crossing);
     const std::string what = crossing;
     Net net;
-    const int client = net.client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n"), host = net.host_accepts();
+    const int client = net.client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n");
+    const int host = net.host_accepts();
     EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");
     if (what == "drain once up") {
       net.write(host, "UP x\r\n");
       EXPECT_EQ(net.read(client), "UP x\r\n");
     }
-    if (what == "end") net.reset(client);
-    else if (what == "stop") net.node->stop();
-    else
+    if (what == "end") {
+      net.reset(client);
+    } else if (what == "stop") {
+      net.node->stop();
+    } else {
       net.answers = {
           Net::http(R"({"generation":2,"reset":false,"instances":[{"instanceId":"h2","hostPort":")" +
                     Net::text_of(net.hosts_at) + R"(","zone":"near","lifecycle":"draining"}]})")};
-    if (what != "end") { EXPECT_EQ(net.read(client, 6, 9000), "MOVE\r\n"); }
+    }
+    if (what != "end") {
+      EXPECT_EQ(net.read(client, 6, 9000), "MOVE\r\n");
+    }
     EXPECT_TRUE(net.ended(host));
   }
 }
@@ -361,31 +390,47 @@
     return word.find(part) != std::string::npos;
   };
   int played = 0;
-  for (const std::string& a : events)
-    for (const std::string& b : events)
+  for (const std::string& a : events) {
+    for (const std::string& b : events) {
       for (const bool turn_between : {false, true}) {
-        const bool two_ends = has(a, "client") && has(b, "client"),
-                   after_reset = a == "host RST" && (b == "UP" || b == "BUSY");
+        const bool two_ends = has(a, "client") && has(b, "client");
+        const bool after_reset = a == "host RST" && (b == "UP" || b == "BUSY");
         const bool two_answers = (a == "UP" || a == "BUSY") && (b == "UP" || b == "BUSY");
-        if (a == b || two_ends || after_reset || two_answers) continue;
+        if (a == b || two_ends || after_reset || two_answers) {
+          continue;
+        }
         SCOPED_TRACE(a + (turn_between ? ", a turn, " : ", ") + b);
         ++played;
         Net net(1024, true, [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
         std::string line = opening();
         line.replace(line.find("d=2000"), 6, "d=250");
-        const int client = net.client(line), host = net.host_accepts();
+        const int client = net.client(line);
+        const int host = net.host_accepts();
         EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");
         const auto happens = [&](const std::string& what) {
-          if (what == "client FIN") net.finish(client);
-          if (what == "client RST") net.reset(client);
-          if (what == "UP" || what == "BUSY") net.socket(host).send((what + "\r\n").data(), what.size() + 2);
-          if (what == "host RST") net.reset(host);
-          if (what == "drains")
+          if (what == "client FIN") {
+            net.finish(client);
+          }
+          if (what == "client RST") {
+            net.reset(client);
+          }
+          if (what == "UP" || what == "BUSY") {
+            net.socket(host).send((what + "\r\n").data(), what.size() + 2);
+          }
+          if (what == "host RST") {
+            net.reset(host);
+          }
+          if (what == "drains") {
             net.answers = {list(net, 2, kAll, "draining")}, net.turn();  // it goes out with a turn
-          if (what == "SIGTERM") net.node->stop();
+          }
+          if (what == "SIGTERM") {
+            net.node->stop();
+          }
         };
         happens(a);
-        if (turn_between) net.turn();
+        if (turn_between) {
+          net.turn();
+        }
         happens(b);
         const bool gone = has(a, "client") || has(b, "client");
         std::string got;
@@ -393,20 +438,33 @@
         int further = 0;
         net.until([&] {
           Socket taken(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
-          if (taken) ++further, taken.send("BUSY\r\n", 6), net.keep(std::move(taken));
+          if (taken) {
+            ++further, taken.send("BUSY\r\n", 6), net.keep(std::move(taken));
+          }
           return a == "client RST" || b == "client RST" || !net.socket(client).receive(got, 4096, end) ||
                  end || got.find('\n') != std::string::npos;
         });
         net.run(30);
-        const bool up = a == "UP" || b == "UP", busy = a == "BUSY" || b == "BUSY";
-        if (!busy) { EXPECT_EQ(further, 0) << "what may have run is tried once"; }
-        if (!gone && up) { EXPECT_EQ(got.substr(0, 4), "UP\r\n"); }
-        if (!gone && busy) { EXPECT_EQ(got.substr(0, 4), "BUSY"); }
-        if (!gone && !up && !busy) { EXPECT_EQ(got, "ERR\r\n") << "it may have run"; }
+        const bool up = a == "UP" || b == "UP";
+        const bool busy = a == "BUSY" || b == "BUSY";
+        if (!busy) {
+          EXPECT_EQ(further, 0) << "what may have run is tried once";
+        }
+        if (!gone && up) {
+          EXPECT_EQ(got.substr(0, 4), "UP\r\n");
+        }
+        if (!gone && busy) {
+          EXPECT_EQ(got.substr(0, 4), "BUSY");
+        }
+        if (!gone && !up && !busy) {
+          EXPECT_EQ(got, "ERR\r\n") << "it may have run";
+        }
         EXPECT_LE(std::count(got.begin(), got.end(), '\n'), up ? 2 : 1) << got;  // UP, and MOVE behind it
         if (gone && a != "host RST" && b != "host RST") {
           EXPECT_TRUE(net.ended(host)) << "its host hears of the end";
         }
       }
+    }
+  }
   EXPECT_EQ(played, 72);
 }
--- a/tests/crossings_many.cpp
+++ b/tests/crossings_many.cpp
@@ -40,9 +40,13 @@
   bool drains = false;
 
   explicit Many(Chance& from) : chance(from) {
-    for (int i = 0; i < kHosts; ++i) at[i] = Net::listening(listeners[i]);
+    for (int i = 0; i < kHosts; ++i) {
+      at[i] = Net::listening(listeners[i]);
+    }
     net.emplace(1024, true, [this](Configuration& to) {
-      for (int i = 0; i < kHosts; ++i) to.known["instances"][i]["hostPort"] = Net::text_of(at[i]);
+      for (int i = 0; i < kHosts; ++i) {
+        to.known["instances"][i]["hostPort"] = Net::text_of(at[i]);
+      }
       to.env["lanes"][0]["hardLimitMs"] = 400;
       to.env["lanes"].push_back(to.env["lanes"][0]);
       to.env["lanes"][1]["name"] = "once";
@@ -61,17 +65,26 @@
 
   void happens() {
     for (Client& one : clients) {
-      if (!one.line.empty()) one.line.erase(0, one.socket.send(one.line.data(), one.line.size()).value_or(0));
-      if (one.gone || !one.line.empty() || !one_in(30)) continue;
+      if (!one.line.empty()) {
+        one.line.erase(0, one.socket.send(one.line.data(), one.line.size()).value_or(0));
+      }
+      if (one.gone || !one.line.empty() || !one_in(30)) {
+        continue;
+      }
       one.gone = true;
       one_in(2) ? one.socket.abort() : one.socket.finish();
     }
-    for (Try& one : tries)
-      if (one.known && !one.answered && !one.ended && one_in(4)) answer(one);
+    for (Try& one : tries) {
+      if (one.known && !one.answered && !one.ended && one_in(4)) {
+        answer(one);
+      }
+    }
     if (told < 0 && net->answers.empty() && one_in(10)) {
       told = static_cast<int>(chance.next() % kHosts);
       drains = drains_since[told] < 0;
-      if (drains && std::count(drains_since, drains_since + kHosts, -1) < 3) return void(told = -1);
+      if (drains && std::count(drains_since, drains_since + kHosts, -1) < 3) {
+        return void(told = -1);
+      }
       const nlohmann::json entry = {{"instanceId", "h" + std::to_string(told)},
                                     {"hostPort", Net::text_of(at[told])},
                                     {"zone", "near"},
@@ -90,29 +103,45 @@
                              : how < 5  ? ""
                                         : "UP r\r\n";
     one.socket.send(said.data(), said.size());
-    if (how == 5) one.socket.send("UP s\r\n", 6);  // a second answer
-    if (how == 2 || how == 3 || (how == 0 && one_in(2))) one.socket.finish();
-    if (how == 4 || how == 6) one.socket.abort();  // also right behind its UP
+    if (how == 5) {
+      one.socket.send("UP s\r\n", 6);  // a second answer
+    }
+    if (how == 2 || how == 3 || (how == 0 && one_in(2))) {
+      one.socket.finish();
+    }
+    if (how == 4 || how == 6) {
+      one.socket.abort();  // also right behind its UP
+    }
     one.answered = true, one.turned_away = how == 0;
   }
 
   void sees() {
-    for (int i = 0; i < kHosts; ++i)
+    for (int i = 0; i < kHosts; ++i) {
       for (;;) {
         Socket taken(accept4(listeners[i].number(), nullptr, nullptr, SOCK_NONBLOCK));
-        if (!taken) break;
+        if (!taken) {
+          break;
+        }
         tries.emplace_back().socket = std::move(taken);
         tries.back().host = i;
       }
+    }
     for (Try& one : tries) {
       bool end = false;
-      if (one.socket && !one.ended) one.ended = !one.socket.receive(one.in, 4096, end) || end;
+      if (one.socket && !one.ended) {
+        one.ended = !one.socket.receive(one.in, 4096, end) || end;
+      }
+    }
+    for (Try& one : tries) {
+      if (!one.known && one.in.find('\n') != std::string::npos) {
+        judge(one);
+      }
     }
-    for (Try& one : tries)
-      if (!one.known && one.in.find('\n') != std::string::npos) judge(one);
     for (Client& one : clients) {
       bool end = false;
-      if (one.socket) one.socket.receive(one.in, 4096, end);
+      if (one.socket) {
+        one.socket.receive(one.in, 4096, end);
+      }
     }
   }
 
@@ -128,7 +157,9 @@
     ASSERT_NE(client, clients.end()) << "rule 1: nothing is sent after the end: " << made.id;
     EXPECT_FALSE(client->answered()) << "rule 1: a try after the answer: " << made.id;
     for (const Try& earlier : tries) {
-      if (&earlier == &made || earlier.id != made.id) continue;
+      if (&earlier == &made || earlier.id != made.id) {
+        continue;
+      }
       EXPECT_TRUE(earlier.answered || earlier.ended) << "rule 2: two out: " << made.id;
       EXPECT_TRUE(!client->once || earlier.turned_away) << "rule 2: an effect twice: " << made.id;
     }
@@ -141,27 +172,36 @@
     ++turn;
     sees();
     // The answer went out at the end of that turn: the node reads it in the next one, and may write before.
-    if (waits && net->answers.empty()) drains_since[told] = drains ? turn + 1 : -1, told = -1;
+    if (waits && net->answers.empty()) {
+      drains_since[told] = drains ? turn + 1 : -1, told = -1;
+    }
     return std::all_of(clients.begin(), clients.end(),
                        [](const Client& one) { return one.gone || one.answered(); });
   }
 
   void ends() {
     for (const Client& one : clients) {
-      if (one.gone) continue;
+      if (one.gone) {
+        continue;
+      }
       const std::string word = one.in.substr(0, one.in.find_first_of(" \r"));
       ++answers;
       EXPECT_TRUE(word == "UP" || word == "BUSY" || word == "ERR") << one.id << ": " << one.in;
       EXPECT_TRUE(word == "UP" || one.in.find('\n') + 1 == one.in.size()) << "rule 1: more after its answer";
-      for (const Try& made : tries)
+      for (const Try& made : tries) {
         EXPECT_TRUE(made.id != one.id || !one.once || word != "BUSY" || made.turned_away)
             << "rule 2: rejected though it may have run: " << one.id;
+      }
     }
     clients.clear();
-    for (int i = 0; i < 5; ++i) net->turn(), ++turn;
+    for (int i = 0; i < 5; ++i) {
+      net->turn(), ++turn;
+    }
     tries.clear();
-    for (int i = 0; i < kHosts; ++i)
-      while (Socket(accept4(listeners[i].number(), nullptr, nullptr, SOCK_NONBLOCK))) {}
+    for (int i = 0; i < kHosts; ++i) {
+      while (Socket(accept4(listeners[i].number(), nullptr, nullptr, SOCK_NONBLOCK))) {
+      }
+    }
   }
 };
 
@@ -171,13 +211,17 @@
   SCOPED_TRACE("seed " + std::to_string(kSeed));
   spdlog::set_level(spdlog::level::err);
   Chance chance(kSeed);
-  int lines = 0, answers = 0;
+  int lines = 0;
+  int answers = 0;
   for (int node = 0; node < kNodes && !testing::Test::HasFailure(); ++node) {
     Many many(chance);
     for (int round = 0; round < kRounds; ++round) {
-      for (int i = 0; i < kTogether; ++i) many.opens();
+      for (int i = 0; i < kTogether; ++i) {
+        many.opens();
+      }
       int turns = 0;
-      while (!many.step() && ++turns < kMostTurns) {}
+      while (!many.step() && ++turns < kMostTurns) {
+      }
       EXPECT_LT(turns, kMostTurns) << "rule 1: somebody has no answer, node " << node << " round " << round;
       many.ends();
     }
--- a/tests/faults/passing.cpp
+++ b/tests/faults/passing.cpp
@@ -26,7 +26,8 @@
 
 // A client that stands at a host.
 std::pair<int, int> standing(Net& net) {
-  const int client = net.client(opening()), host = net.host_accepts();
+  const int client = net.client(opening());
+  const int host = net.host_accepts();
   EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");
   net.write(host, "UP x\r\n");
   EXPECT_EQ(net.read(client), "UP x\r\n");
@@ -79,7 +80,9 @@
   EXPECT_EQ(net.read(known, 6), "PONG\r\n");
   const int longest = net.client("");
   net.run(200);  // it had its time
-  for (int i = 0; i < 12; ++i) net.client("");
+  for (int i = 0; i < 12; ++i) {
+    net.client("");
+  }
   EXPECT_EQ(net.read(longest, 6), "BUSY\r\n") << "the longest silent gives way";
 }
 
@@ -90,8 +93,9 @@
     Event unsent;
     unsent.kind = EventKind::probe_ended, unsent.host = "h1", unsent.outcome = Outcome::not_sent;
     fleet.tell(unsent);
-    for (const Action& action : fleet.last)
+    for (const Action& action : fleet.last) {
       EXPECT_EQ(action.text.find("probes bad"), std::string::npos) << action.text;
+    }
   }
 }
 
@@ -128,7 +132,8 @@
   Socket asked;
   EXPECT_TRUE(net.until(
       [&] {
-        if (!asked) asked = Socket(accept4(elsewhere.number(), nullptr, nullptr, SOCK_NONBLOCK));
+        if (!asked)
+          asked = Socket(accept4(elsewhere.number(), nullptr, nullptr, SOCK_NONBLOCK));
         return static_cast<bool>(asked);
       },
       2000))
@@ -155,6 +160,10 @@
     clients.push_back(net.keep(std::move(socket)));
   }
   net.run(20);  // the node has accepted them all, and none has said anything yet
-  for (const int client : clients) net.write(client, "PING\r\n");
-  for (const int client : clients) EXPECT_EQ(net.read(client, 6), "PONG\r\n");
+  for (const int client : clients) {
+    net.write(client, "PING\r\n");
+  }
+  for (const int client : clients) {
+    EXPECT_EQ(net.read(client, 6), "PONG\r\n");
+  }
 }
--- a/tests/faults/reattach.cpp
+++ b/tests/faults/reattach.cpp
@@ -26,14 +26,18 @@
 // The host's next connection, on which the whole line has come.
 int host_with_line(Net& net) {
   const int host = net.host_accepts();
-  if (::testing::Test::HasFailure()) return host;
+  if (::testing::Test::HasFailure()) {
+    return host;
+  }
   EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");
   return host;
 }
 
 void comes_up(Net& net, int client) {
   const int host = host_with_line(net);
-  if (::testing::Test::HasFailure()) return;
+  if (::testing::Test::HasFailure()) {
+    return;
+  }
   net.write(host, "UP x\r\n");
   EXPECT_EQ(net.read(client), "UP x\r\n");
 }
@@ -43,7 +47,9 @@
   net.until(
       [&] {
         Socket taken(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
-        if (taken) ++count, net.keep(std::move(taken));
+        if (taken) {
+          ++count, net.keep(std::move(taken));
+        }
         return false;
       },
       ms);
@@ -69,7 +75,9 @@
     faults::inject({call, error, 1, 0, kMomentMs, port});
     net.write(client, line_at("h2"));
     comes_up(net, client);
-    if (HasFailure()) return;  // each further one would wait in vain as well
+    if (HasFailure()) {
+      return;  // each further one would wait in vain as well
+    }
     EXPECT_GT(faults::hits(), 0);
   }
 }
@@ -80,7 +88,9 @@
     SCOPED_TRACE(trouble);
     const Cleared cleared;
     Net net;
-    if (trouble == "refused") net.hosts.close();
+    if (trouble == "refused") {
+      net.hosts.close();
+    }
     const int client = net.client(line_at(trouble == "unlisted" ? "h9" : "h2"));
     if (trouble == "refused") {
       net.run(kMomentMs);
@@ -92,29 +102,41 @@
                     Net::text_of(net.hosts_at) + R"(","zone":"near","lifecycle":"up"}]})")};
     } else {
       const int first = host_with_line(net);
-      if (trouble == "reset") net.reset(first);
-      else if (trouble == "end") net.finish(first);
-      else net.write(first, trouble);
-      if (trouble == "half a line") net.reset(first);
+      if (trouble == "reset") {
+        net.reset(first);
+      } else if (trouble == "end") {
+        net.finish(first);
+      } else {
+        net.write(first, trouble);
+      }
+      if (trouble == "half a line") {
+        net.reset(first);
+      }
     }
     comes_up(net, client);
-    if (HasFailure()) return;
+    if (HasFailure()) {
+      return;
+    }
   }
 }
 
 TEST(Reattach, AHostThatNeverAnswersTheLineIsAskedAgain) {
   const Cleared cleared;
   Net net;
-  const int client = net.client(line_at("h2")), silent = host_with_line(net);
+  const int client = net.client(line_at("h2"));
+  const int silent = host_with_line(net);
   EXPECT_TRUE(net.ended(silent)) << "danger: a single attempt would wait for over an hour";
-  if (HasFailure()) return;
+  if (HasFailure()) {
+    return;
+  }
   comes_up(net, client);
 }
 
 TEST(Reattach, WhatMayHaveRunIsNotSentAgainAndIsAnsweredAtOnce) {
   const Cleared cleared;
   Net net(1024, true, [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
-  const int client = net.client(line_at("h2")), host = host_with_line(net);
+  const int client = net.client(line_at("h2"));
+  const int host = host_with_line(net);
   const Tenths reset_at = net.loop.now();
   net.reset(host);
   EXPECT_EQ(net.read(client), "ERR\r\n");
@@ -126,7 +148,8 @@
   const Cleared cleared;
   {
     Net net;
-    const int client = net.client(line_at("h2")), host = host_with_line(net);
+    const int client = net.client(line_at("h2"));
+    const int host = host_with_line(net);
     net.reset(host);
     net.reset(client);
     EXPECT_EQ(further_connections(net, 1500), 0) << "nobody waits for it any more";
@@ -172,7 +195,9 @@
     before.expiry = fleet.now + 400000000;
     fleet.tell(before);
     fleet.tries["before"].push_back("h1");
-    if (up) fleet.stand("before");
+    if (up) {
+      fleet.stand("before");
+    }
     fleet.pass(20 * kSecond);
     EXPECT_EQ(fleet.moved.size(), up ? 1u : 0u);
   }
--- a/tests/fleet/model.cpp
+++ b/tests/fleet/model.cpp
@@ -39,7 +39,8 @@
 TEST(Host, DoesWorkInTurnAtItsSpeed) {
   World world;
   HostModel host = world.host();
-  const auto first = host.add(0.1), second = host.add(0.3);
+  const auto first = host.add(0.1);
+  const auto second = host.add(0.3);
   EXPECT_EQ(host.next(), 100 * kMs);
   host.advance(100 * kMs);
   EXPECT_EQ(host.done(), std::vector<HostModel::Work>{first});
@@ -90,7 +91,8 @@
 
 TEST(Host, FallsWhenPushedWhileColdAndNotWhenWarm) {
   World world;  // 2.5 x 0.5 x 10 connections x 2 s of 10 s: 2.5 in a window, and 2 for chance
-  HostModel cold = world.host(true), warm = world.host();
+  HostModel cold = world.host(true);
+  HostModel warm = world.host();
   double ratio = 0;
   for (int i = 0; i < 5; ++i) {
     ratio = cold.pushed();
@@ -268,8 +270,12 @@
   EXPECT_NEAR(costs[0], 150e-6, 5e-6);
   EXPECT_NEAR(costs[1], 50e-6, 2e-6);
   EXPECT_NEAR(costs[2], 0.02, 0.001);
-  for (double& one : y) one = 0.001;  // nothing but time
-  for (const double cost : costs_of(x, y)) EXPECT_GE(cost, 0);
+  for (double& one : y) {
+    one = 0.001;  // nothing but time
+  }
+  for (const double cost : costs_of(x, y)) {
+    EXPECT_GE(cost, 0);
+  }
 }
 
 TEST(Gather, ARigThatWasHeldUpVoidsItsRun) {
@@ -282,8 +288,8 @@
 }
 
 TEST(Sweep, BootstrapHoldsTheMeanAndShrinksWithCertainty) {
-  const Interval sure = bootstrap({0.1, 0.1, 0.1, 0.1}, 1),
-                 unsure = bootstrap({-0.3, 0.5, 0.2, -0.1, 0.2}, 1);
+  const Interval sure = bootstrap({0.1, 0.1, 0.1, 0.1}, 1);
+  const Interval unsure = bootstrap({-0.3, 0.5, 0.2, -0.1, 0.2}, 1);
   EXPECT_NEAR(sure.mean, 0.1, 1e-12);
   EXPECT_NEAR(sure.high - sure.low, 0, 1e-12);
   EXPECT_LT(unsure.low, 0);
@@ -295,10 +301,13 @@
 TEST(Sweep, RefusesWhatIsNoSpanOrNoValue) {
   EXPECT_EQ(seeds_of("3..9"), (std::pair<std::uint64_t, std::uint64_t>(3, 9)));
   EXPECT_EQ(seeds_of("4"), (std::pair<std::uint64_t, std::uint64_t>(4, 4)));
-  for (const char* bad : {"", "a..b", "9..3", "1..", "1..999999999", "-1..2"})
+  for (const char* bad : {"", "a..b", "9..3", "1..", "1..999999999", "-1..2"}) {
     EXPECT_THROW(seeds_of(bad), BadInput) << bad;
+  }
   EXPECT_EQ(vary_of("a.b=1,2").second.size(), 2u);
-  for (const char* bad : {"a.b", "a.b=", "=,"}) EXPECT_THROW(vary_of(bad), BadInput) << bad;
+  for (const char* bad : {"a.b", "a.b=", "=,"}) {
+    EXPECT_THROW(vary_of(bad), BadInput) << bad;
+  }
 }
 
 }  // namespace
--- a/tests/fleet/scenario.cpp
+++ b/tests/fleet/scenario.cpp
@@ -17,7 +17,9 @@
 std::string fault_of_text(const std::string& text) {
   try {
     scenario_of(text, "f.toml");
-  } catch (const BadInput& error) { return error.what(); }
+  } catch (const BadInput& error) {
+    return error.what();
+  }
   return "";
 }
 
@@ -25,7 +27,9 @@
   const char* text;     // added to what is good
   const char* message;  // how the fault begins
 };
-void PrintTo(const Faulty& faulty, std::ostream* out) { *out << faulty.message; }
+void PrintTo(const Faulty& faulty, std::ostream* out) {
+  *out << faulty.message;
+}
 
 class FaultyScenario : public testing::TestWithParam<Faulty> {};
 
@@ -103,8 +107,9 @@
                                                {"node_reload\"\nnodes = [0]", Ill::node_reload},
                                                {"hush\"", Ill::hush},
                                                {"crowd\"", Ill::crowd}};
-  for (const auto& [named, kind] : kinds)
+  for (const auto& [named, kind] : kinds) {
     EXPECT_EQ(scenario_of(head + "kind = \"" + named + "\n", "n").troubles.front().kind, kind) << named;
+  }
 }
 
 TEST(Scenario, VaryTakesWhatTheTableKnowsAndNothingElse) {
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -27,7 +27,9 @@
   const char* policy;
   Rule rule;
 };
-void PrintTo(const Breach& breach, std::ostream* out) { *out << breach.policy; }
+void PrintTo(const Breach& breach, std::ostream* out) {
+  *out << breach.policy;
+}
 class FaultyPolicy : public testing::TestWithParam<Breach> {};
 
 TEST_P(FaultyPolicy, IsFound) {
@@ -48,7 +50,9 @@
 
 TEST(Sim, EveryFaultHasItsTest) {
   int faulty = 0;
-  for (const std::string& name : policy_names()) faulty += name.starts_with("faulty-");
+  for (const std::string& name : policy_names()) {
+    faulty += name.starts_with("faulty-");
+  }
   EXPECT_EQ(faulty, 7);
 }
 
@@ -57,7 +61,9 @@
   const Scenario scenario = example(GetParam());
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const Result result = simulate(scenario, seed, "dapplewharf");
-    for (int i = 0; i < kRules; ++i) EXPECT_EQ(result.found[i].count, 0) << kRuleNames[i] << " seed " << seed;
+    for (int i = 0; i < kRules; ++i) {
+      EXPECT_EQ(result.found[i].count, 0) << kRuleNames[i] << " seed " << seed;
+    }
     const Audit::Totals& totals = result.totals;
     EXPECT_EQ(totals.asked,
               totals.honoured + totals.rejected + totals.scrapped + totals.unanswered + totals.left);
@@ -85,7 +91,8 @@
 };
 
 TEST(Sweep, GivesTheSameOnAnyNumberOfThreadsAndGoesOnWhereItStopped) {
-  const Folder one, many;
+  const Folder one;
+  const Folder many;
   Sweep sweep;
   sweep.file = std::string(EXAMPLES) + "/calm.toml";
   sweep.policies = {"dapplewharf", "fewest"};
@@ -97,7 +104,8 @@
     EXPECT_EQ(run_sweep(sweep), 0);
     return testing::internal::GetCapturedStdout();
   };
-  const std::string first = run(one.path + "-1", 1), second = run(one.path + "-4", 4);
+  const std::string first = run(one.path + "-1", 1);
+  const std::string second = run(one.path + "-4", 4);
   EXPECT_EQ(first, second);
   EXPECT_NE(first.find("12 runs, 0 of them kept"), std::string::npos) << first;
   std::filesystem::remove(one.path +
--- a/tests/helper.h
+++ b/tests/helper.h
@@ -51,7 +51,9 @@
     node = std::make_unique<Choice>(settings, seed, now);
     Event list;
     list.kind = EventKind::list_copy;
-    for (int i = 0; i < hosts; ++i) list.listings.push_back(listing("h" + std::to_string(i)));
+    for (int i = 0; i < hosts; ++i) {
+      list.listings.push_back(listing("h" + std::to_string(i)));
+    }
     tell(list);
   }
 
@@ -59,9 +61,15 @@
   virtual const std::vector<Action>& tell(const Event& event) {
     last = node->take(now, {event});
     for (const Action& action : last) {
-      if (action.kind == ActionKind::setup_try) tries[action.id].push_back(action.host);
-      if (action.kind == ActionKind::probe) ++probes[action.host];
-      if (action.kind == ActionKind::move) moved.push_back(action.id);
+      if (action.kind == ActionKind::setup_try) {
+        tries[action.id].push_back(action.host);
+      }
+      if (action.kind == ActionKind::probe) {
+        ++probes[action.host];
+      }
+      if (action.kind == ActionKind::move) {
+        moved.push_back(action.id);
+      }
     }
     return last;
   }
@@ -137,15 +145,21 @@
   void answer_probes() {
     std::vector<Action> asked = last;
     for (std::size_t i = 0; i < asked.size(); ++i) {
-      if (asked[i].kind != ActionKind::probe) continue;
+      if (asked[i].kind != ActionKind::probe) {
+        continue;
+      }
       Event answer;
       answer.kind = EventKind::probe_ended;
       answer.host = asked[i].host;
       answer.outcome = silent.count(answer.host)    ? Outcome::no_answer
                        : failing.count(answer.host) ? Outcome::error
                                                     : Outcome::honoured;
-      if (load >= 0) answer.report = {load};
-      for (const Action& action : tell(answer)) asked.push_back(action);
+      if (load >= 0) {
+        answer.report = {load};
+      }
+      for (const Action& action : tell(answer)) {
+        asked.push_back(action);
+      }
     }
   }
 
@@ -161,8 +175,11 @@
   }
 
   Tenths told(const std::string& id) const {  // when a rejected client was told to come back
-    for (const Action& action : last)
-      if (action.kind == ActionKind::reject && action.id == id) return action.time;
+    for (const Action& action : last) {
+      if (action.kind == ActionKind::reject && action.id == id) {
+        return action.time;
+      }
+    }
     return -1;
   }
 
@@ -207,8 +224,9 @@
     hosts_at = listening(hosts);
     const std::string at = text_of(hosts_at);
     nlohmann::json list = nlohmann::json::array();
-    for (const char* id : {"h0", "h1", "h2", "h3"})
+    for (const char* id : {"h0", "h1", "h2", "h3"}) {
       list.push_back({{"instanceId", id}, {"hostPort", at}, {"zone", "near"}, {"lifecycle", "up"}});
+    }
     Configuration& to = told;
     to.descriptors = descriptors;
     discovery_at = listening(discovery);
@@ -218,13 +236,17 @@
       front = listening(free);
     }
     to.listen = text_of(front);
-    if (knows_a_list) to.known = {{"generation", 1}, {"reset", true}, {"instances", list}};
+    if (knows_a_list) {
+      to.known = {{"generation", 1}, {"reset", true}, {"instances", list}};
+    }
     to.env = nlohmann::json::parse(R"({"peersTotal": 1, "zone": "near", "discovery": "on_request",
       "guarantees": {"coldFrom": 0.3, "coldMs": 8000, "fallMs": 2000, "fallMultiple": 2.5, "stopSendingWithinMs": 1000},
       "bounds": {"maxAttempts": 4, "maxRetryAfterMs": 1500, "retryAfter": true, "probes": false, "dialTimeoutMs": 250},
       "extra": {"messageAimMs": [50]}, "lanes": [{"name": "plain", "semantics": "idempotent", "group": "all",
       "windowMs": 5000, "objectiveMs": 800, "hardLimitMs": 2000}]})");
-    if (also) also(to);
+    if (also) {
+      also(to);
+    }
     node = std::make_unique<Node>(loop, to);
     EXPECT_FALSE(node->start());
   }
@@ -246,15 +268,21 @@
       calls += call ? 1 : 0;
     }
     bool ended = false;
-    if (!call || !call.receive(asked, 4096, ended) || ended) call.close(), asked.clear();
-    if (!call || answers.empty() || asked.find("\r\n\r\n") == std::string::npos) return;
+    if (!call || !call.receive(asked, 4096, ended) || ended) {
+      call.close(), asked.clear();
+    }
+    if (!call || answers.empty() || asked.find("\r\n\r\n") == std::string::npos) {
+      return;
+    }
     call.send(answers.front().data(), answers.front().size());
     answers.pop_front();
     asked.clear();
   }
   bool until(const std::function<bool()>& seen, int ms = 5000) {
     for (const Tenths end = loop.now() + ms * 10; loop.now() < end;) {
-      if (seen()) return true;
+      if (seen()) {
+        return true;
+      }
       turn();
     }
     return seen();
@@ -281,7 +309,9 @@
   int host_accepts() {
     Socket taken;
     until([&] {
-      if (!taken) taken = Socket(accept4(hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
+      if (!taken) {
+        taken = Socket(accept4(hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
+      }
       return static_cast<bool>(taken);
     });
     EXPECT_TRUE(taken);
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -10,7 +10,9 @@
 
 constexpr Tenths kNow = 17000000000000;
 
-Tally tally_of(int nodes) { return Tally(nodes, 0, 7); }
+Tally tally_of(int nodes) {
+  return Tally(nodes, 0, 7);
+}
 
 }  // namespace
 
@@ -27,9 +29,13 @@
 
 TEST(Tally, FewWordsAreNoEstimateAndOldOnesFadeAway) {
   Tally tally = tally_of(100);
-  for (int node = 1; node <= 7; ++node) tally.hear(node, Tally::word({{"a", 1}}, kNow), kNow);
+  for (int node = 1; node <= 7; ++node) {
+    tally.hear(node, Tally::word({{"a", 1}}, kNow), kNow);
+  }
   EXPECT_FALSE(tally.elsewhere("a", kNow));
-  for (int node = 8; node <= 20; ++node) tally.hear(node, Tally::word({{"a", 1}}, kNow), kNow);
+  for (int node = 8; node <= 20; ++node) {
+    tally.hear(node, Tally::word({{"a", 1}}, kNow), kNow);
+  }
   EXPECT_TRUE(tally.elsewhere("a", kNow + 5 * kSecond));
   EXPECT_FALSE(tally.elsewhere("a", kNow + 7 * kSecond));
 }
@@ -41,8 +47,9 @@
   EXPECT_FALSE(tally.hear(1, Tally::word({{"a", 9}}, kNow - 60 * kSecond), kNow));  // from a former life
   EXPECT_TRUE(tally.hear(1, Tally::word({{"a", 5}}, kNow), kNow));                  // doubled
   const std::string good = Tally::word({{"a", 9}, {"b", 1}}, kNow + kSecond);
-  for (const std::size_t size : {0, 1, 2, 4, 5, 7, 8})
+  for (const std::size_t size : {0, 1, 2, 4, 5, 7, 8}) {
     EXPECT_FALSE(tally.hear(1, good.substr(0, size), kNow));
+  }
   EXPECT_FALSE(tally.hear(1, "\x02" + good.substr(1), kNow));  // another version
   EXPECT_FALSE(tally.hear(-1, good, kNow));                    // from a stranger
   EXPECT_FALSE(tally.hear(0, good, kNow));                     // its own
@@ -60,7 +67,9 @@
 
 TEST(Tally, AWordOfManyHostsFitsAndLeavesOutTheSmallest) {
   Tally::Counts counts;
-  for (int i = 0; i < 200; ++i) counts["h" + std::to_string(i)] = i + 100;
+  for (int i = 0; i < 200; ++i) {
+    counts["h" + std::to_string(i)] = i + 100;
+  }
   Tally tally = tally_of(2);
   EXPECT_LE(Tally::word(counts, kNow).size(), 255U);
   EXPECT_TRUE(tally.hear(1, Tally::word(counts, kNow), kNow));
@@ -71,11 +80,14 @@
 // Danger: what each tells to all others grows with the square of the nodes.
 TEST(Tally, TellingIsBoundedHoweverFastThingsChange) {
   Tally tally = tally_of(400);
-  std::size_t changing = 0, still = 0;
-  for (Tenths now = 0; now < 10 * kSecond; now += 100)
+  std::size_t changing = 0;
+  std::size_t still = 0;
+  for (Tenths now = 0; now < 10 * kSecond; now += 100) {
     changing += tally.tell_to(now, {{"a", static_cast<int>(now)}}).size();
-  for (Tenths now = 10 * kSecond; now < 30 * kSecond; now += 100)
+  }
+  for (Tenths now = 10 * kSecond; now < 30 * kSecond; now += 100) {
     still += tally.tell_to(now, {{"a", 1}}).size();
+  }
   EXPECT_LE(changing, 51U * 12);
   EXPECT_GE(changing, 40U * 12);
   EXPECT_LE(still, 12 + 21U * 3);
@@ -87,11 +99,14 @@
   Loop loop;
   Counters counters;
   const std::vector<std::string> both{"127.0.77.1:21461", "127.0.77.1:21462"};
-  Peers one(loop, counters, {both[0], both, 0}, 1), two(loop, counters, {both[1], both, 1}, 2);
+  Peers one(loop, counters, {both[0], both, 0}, 1);
+  Peers two(loop, counters, {both[1], both, 1}, 2);
   Peers stranger(loop, counters, {"127.0.77.1:21463", both, 0}, 3);
   stranger.tell({{"a", 90}});
   one.tell({{"a", 3}});
-  for (int i = 0; i < 20 && !two.elsewhere("a"); ++i) loop.turn(100 * kMs);
+  for (int i = 0; i < 20 && !two.elsewhere("a"); ++i) {
+    loop.turn(100 * kMs);
+  }
   EXPECT_EQ(two.elsewhere("a").value_or(-1), 3);
   EXPECT_FALSE(one.elsewhere("a"));
   EXPECT_EQ(counters.words_passed, 1U);
--- a/tests/node.cpp
+++ b/tests/node.cpp
@@ -56,8 +56,9 @@
                           "OPEN a b c=chat,t=acme,d=9,h",
                           "OPEN a b c=chat,t=acme,d=9,again=yes",
                           "OPEN a\x01 b c=chat,t=acme,d=9",
-                          "open a b c=chat,t=acme,d=9"})
+                          "open a b c=chat,t=acme,d=9"}) {
     EXPECT_FALSE(opening_of(std::string(bad) + "\r\n", kGrammar).fault.empty()) << bad;
+  }
   EXPECT_FALSE(opening_of("OPEN a b c=chat,t=acme,d=9\n", kGrammar).fault.empty()) << "a line ends with CRLF";
   EXPECT_TRUE(opening_of("OPEN a b c=chat,t=acme,d=9\r\n", kGrammar).fault.empty());
 }
@@ -76,10 +77,12 @@
   }
   EXPECT_TRUE(answer_of(chunked, false, 4096).closes);
   for (const char* bad : {"no http\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
-                          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"})
+                          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}) {
     EXPECT_EQ(answer_of(bad, false, 4096).state, Answer::State::bad) << bad;
-  for (const std::string& whole : {sized, chunked})
+  }
+  for (const std::string& whole : {sized, chunked}) {
     EXPECT_EQ(answer_of(whole, true, 3).state, Answer::State::bad) << "one byte over the largest body";
+  }
   EXPECT_EQ(answer_of("HTTP/1.0 200 OK\r\n\r\nabcd", true, 3).state, Answer::State::bad);
 }
 
@@ -88,7 +91,7 @@
 // A list of hosts as it may come at worst: indented, with long names.
 std::string long_list(int hosts, int version, const std::string& lifecycle, const std::string& at) {
   nlohmann::json named = nlohmann::json::array();
-  for (int i = 0; i < hosts; ++i)
+  for (int i = 0; i < hosts; ++i) {
     named.push_back({{"instanceId", "h" + std::to_string(i) + std::string(200, 'x')},
                      {"hostPort", at},
                      {"zone", "near"},
@@ -97,6 +100,7 @@
                      {"weight", 1.0},
                      {"startedAtMs", 0},
                      {"lifecycle", lifecycle}});
+  }
   return nlohmann::json({{"generation", version}, {"reset", true}, {"instances", named}}).dump(8);
 }
 
@@ -144,9 +148,11 @@
 }
 
 TEST(Errors, WhatProvesThatATryNeverRan) {
-  for (const Reach reach : {Reach::not_connected, Reach::partly_written})
-    for (const Cause cause : {Cause::broken, Cause::closed, Cause::time_out})
+  for (const Reach reach : {Reach::not_connected, Reach::partly_written}) {
+    for (const Cause cause : {Cause::broken, Cause::closed, Cause::time_out}) {
       EXPECT_EQ(outcome_of({reach, cause}), Outcome::no_connection);
+    }
+  }
   EXPECT_EQ(outcome_of({Reach::written, Cause::broken}), Outcome::lost);
   EXPECT_EQ(outcome_of({Reach::written, Cause::time_out}), Outcome::no_answer);
   EXPECT_EQ(outcome_of({Reach::written, Cause::busy}), Outcome::turned_away);
@@ -176,7 +182,9 @@
 TEST(Meter, AHostWhoseProbesWaitIsToldOnceASecondAndOnceMoreWhenOver) {
   Meter meter;
   Tenths now = 100000;
-  for (int i = 0; i < 5; ++i) meter.probed(now, 30);
+  for (int i = 0; i < 5; ++i) {
+    meter.probed(now, 30);
+  }
   EXPECT_FALSE(meter.tell(now, 500, {}));
   meter.probed(now, 630);
   EXPECT_GE(meter.tell(now, 500, {}), 600);
@@ -191,10 +199,15 @@
   const double work = work_at_rest({2.5 * 178, 2.5 * 34, 4 * 20, 6 * 1});
   EXPECT_EQ(work, 80) << "neither the slow one nor the one that answers at once";
   EXPECT_EQ(work_at_rest({}), 0);
-  Meter alone, among;
-  for (Meter* meter : {&alone, &among}) meter->probed(99000, 178);
+  Meter alone;
+  Meter among;
+  for (Meter* meter : {&alone, &among}) {
+    meter->probed(99000, 178);
+  }
   EXPECT_FALSE(among.tell(99000, 500, {}, 64)) << "one probe alone says nothing";
-  for (Meter* meter : {&alone, &among}) meter->probed(100000, 178);
+  for (Meter* meter : {&alone, &among}) {
+    meter->probed(100000, 178);
+  }
   EXPECT_FALSE(alone.tell(100000, 500, {}));
   EXPECT_GT(among.tell(100000, 500, {}, static_cast<Tenths>(2 * work / 2.5)), 250);
 }
@@ -261,8 +274,9 @@
 
 TEST(Node, BadInputFromAClientCostsItsConnectionOnly) {
   Net net;
-  const int malformed = net.client("GET / HTTP/1.1\r\n"), endless = net.client(std::string(6000, 'x')),
-            fine = net.client(opening());
+  const int malformed = net.client("GET / HTTP/1.1\r\n");
+  const int endless = net.client(std::string(6000, 'x'));
+  const int fine = net.client(opening());
   EXPECT_EQ(net.read(malformed), "ERR\r\n");
   EXPECT_TRUE(net.ended(malformed));
   EXPECT_EQ(net.read(endless), "ERR\r\n");
@@ -336,7 +350,8 @@
   EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
   EXPECT_TRUE(net.until([&] { return net.asked.find("after=9") != std::string::npos; }, 1000))
       << "then it watches";
-  const int client = net.client(opening()), host = net.host_accepts();
+  const int client = net.client(opening());
+  const int host = net.host_accepts();
   net.write(host, "UP x\r\n");
   EXPECT_EQ(net.read(client), "UP x\r\n");
 }
@@ -344,9 +359,15 @@
 TEST(Node, OutOfDescriptorsEveryClientStillGetsAnAnswer) {
   Net net(64);
   std::vector<int> clients;
-  for (int i = 0; i < 60; ++i) clients.push_back(net.client(opening()));
-  for (const int client : clients) EXPECT_EQ(net.read(client, 4, 3000).substr(0, 4), "BUSY");
-  for (const int client : clients) net.reset(client);
+  for (int i = 0; i < 60; ++i) {
+    clients.push_back(net.client(opening()));
+  }
+  for (const int client : clients) {
+    EXPECT_EQ(net.read(client, 4, 3000).substr(0, 4), "BUSY");
+  }
+  for (const int client : clients) {
+    net.reset(client);
+  }
   EXPECT_EQ(net.read(net.client("PING\r\n")), "PONG\r\n");
 }
 
@@ -358,8 +379,9 @@
   Socket listener;
   const std::string at = Net::text_of(Net::listening(listener));
   std::vector<Socket> idle;
-  while (!Socket::short_of(limits.descriptors, kProbesLeave))
+  while (!Socket::short_of(limits.descriptors, kProbesLeave)) {
     idle.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
+  }
   std::optional<Cause> probed;
   Probes probes(loop, counters, limits,
                 [&](const std::string&, const Probes::Probed& end) { probed = end.end.cause; });
@@ -368,7 +390,9 @@
   bool lost = false;
   Discovery discovery(loop, counters, at, limits, 1, {[](const List&) {}, [&] { lost = true; }});
   discovery.fetch();
-  for (int i = 0; i < 5; ++i) loop.turn(100);
+  for (int i = 0; i < 5; ++i) {
+    loop.turn(100);
+  }
   EXPECT_FALSE(lost);
   EXPECT_TRUE(Socket(accept4(listener.number(), nullptr, nullptr, SOCK_NONBLOCK)))
       << "its connection has come";
@@ -376,7 +400,8 @@
 
 TEST(Node, ASlowReaderHoldsUpItsOwnConnectionOnlyAndLittleOfIt) {
   Net net;
-  const int slow = net.client(opening()), host = net.host_accepts();
+  const int slow = net.client(opening());
+  const int host = net.host_accepts();
   net.write(host, "UP x\r\n");
   EXPECT_EQ(net.read(slow), "UP x\r\n");
   std::string line(1000, 'x');
@@ -388,7 +413,9 @@
     taken += got;
     return got > 0;
   };
-  for (int i = 0; i < 20000 && (gives() || (net.run(50), gives())); ++i) net.run(0);
+  for (int i = 0; i < 20000 && (gives() || (net.run(50), gives())); ++i) {
+    net.run(0);
+  }
   EXPECT_LT(taken, 19000u * 1000u);
   const int other = net.client(opening());
   net.write(net.host_accepts(), "UP y\r\n");
@@ -402,7 +429,8 @@
 
 TEST(Node, ALineLongerThanTheProtocolsPassesAndMoveStandsAfterIt) {
   Net net;
-  const int client = net.client(opening()), host = net.host_accepts();
+  const int client = net.client(opening());
+  const int host = net.host_accepts();
   net.write(host, "UP x\r\n" + std::string(9000, 'x'));
   EXPECT_EQ(net.read(client, 9006).size(), 9006u);
   net.node->stop();
@@ -457,12 +485,15 @@
                          R"(","zone":"near","lifecycle":"up"}])";
   net.answers = {Net::http(R"({"generation":7,"reset":false,"instances":[]})")};
   EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  const int client = net.client(opening()), host = net.host_accepts();
+  const int client = net.client(opening());
+  const int host = net.host_accepts();
   net.read(host);
   net.write(host, "UP x\r\n");
   net.read(client);
   net.run(50);  // the watch is out at the old place, and has not been answered
-  for (int i = 0; i < 3; ++i) net.moves_discovery();
+  for (int i = 0; i < 3; ++i) {
+    net.moves_discovery();
+  }
   EXPECT_TRUE(net.until([&] { return net.asked.find("\r\n\r\n") != std::string::npos; }, 300))
       << "asked at once, not when the old call ends";
   EXPECT_EQ(net.asked.substr(0, 18), "GET /api/targets H") << "versions there may be counted anew";
@@ -512,8 +543,9 @@
               std::string::npos);
   }
   for (const std::string& bad : {std::string(), std::string("[]"), sound.substr(0, sound.size() / 2),
-                                 std::string(R"({"name":"n0"})"), std::string(R"({"name":7,"listen":[]})")})
+                                 std::string(R"({"name":"n0"})"), std::string(R"({"name":7,"listen":[]})")}) {
     EXPECT_FALSE(reads(bad).fault.empty()) << bad;
+  }
   std::remove(path);
   EXPECT_FALSE(read_configuration(path, Source::file_only).fault.empty());
   setenv("PROXY_DISCOVERY", "127.0.0.1:3", 1);
@@ -526,7 +558,8 @@
 TEST(BadClients, TheIdOfAnOpenOrLateConnectionReachesNoHost) {
   Net net;
   const std::string first = opening();
-  const int client = net.client(first), host = net.host_accepts();
+  const int client = net.client(first);
+  const int host = net.host_accepts();
   EXPECT_EQ(net.read(net.client(first)), "ERR\r\n") << "while it waits";
   net.write(host, "UP x\r\n");
   EXPECT_EQ(net.read(client), "UP x\r\n");
@@ -549,8 +582,10 @@
 
 TEST(BadClients, HalfALineAndASilentOneAreEndedWithinThreeSeconds) {
   Net net;
-  const int half = net.client("OPEN 1f 2"), silent = net.client("");
-  const int both = net.client("PING\r\nOPEN 1f 2"), almost = net.client("PING now\r\n");
+  const int half = net.client("OPEN 1f 2");
+  const int silent = net.client("");
+  const int both = net.client("PING\r\nOPEN 1f 2");
+  const int almost = net.client("PING now\r\n");
   EXPECT_EQ(net.read(almost, 1, 500), "ERR\r\n");
   EXPECT_EQ(net.read(half, 1, 2700), "ERR\r\n");
   EXPECT_EQ(net.read(both, 9, 1000), "PONG\r\nERR\r\n");
@@ -576,7 +611,9 @@
 TEST(BadClients, ACrowdThatSaysNothingOrOnlyPingTakesNothingFromAUsualClient) {
   Net net(140);
   std::vector<int> crowd;
-  for (int i = 0; i < 60; ++i) crowd.push_back(net.client(i % 2 ? "" : "PING\r\n"));
+  for (int i = 0; i < 60; ++i) {
+    crowd.push_back(net.client(i % 2 ? "" : "PING\r\n"));
+  }
   const int client = net.client(opening());
   net.write(net.host_accepts(), "UP fine\r\n");
   EXPECT_EQ(net.read(client), "UP fine\r\n");
--- a/tests/shadow.cpp
+++ b/tests/shadow.cpp
@@ -21,15 +21,20 @@
     node = std::make_unique<Choice>(settings, 7, now);
     Event list;
     list.kind = EventKind::list_copy;
-    for (int i = 0; i < hosts; ++i) list.listings.push_back(listing("h" + std::to_string(i)));
+    for (int i = 0; i < hosts; ++i) {
+      list.listings.push_back(listing("h" + std::to_string(i)));
+    }
     tell(list);
   }
   const std::vector<Action>& tell(const Event& event) override {
     Fake::tell(event);
-    if (shadow) shadow->follow(now, {event}, last);
-    for (const Action& action : last)
+    if (shadow) {
+      shadow->follow(now, {event}, last);
+    }
+    for (const Action& action : last) {
       actions += std::to_string(static_cast<int>(action.kind)) + " " + action.id + " " + action.host + " " +
                  std::to_string(action.time) + "\n";
+    }
     return last;
   }
   Event of(EventKind kind, const std::string& id) {
@@ -60,7 +65,9 @@
         bad.outcome = Outcome::turned_away;
         tell(bad);
       }
-      if (tries[id].empty()) continue;
+      if (tries[id].empty()) {
+        continue;
+      }
       if (i % 11 == 3) {
         tell(of(EventKind::client_left, id));
         Event gone = of(EventKind::try_ended, id);
@@ -108,7 +115,9 @@
   ~File() { std::remove(path.c_str()); }
 };
 
-std::string opening() { return "OPEN 5a1 2e c=plain,t=x,d=2000,g=3d\r\n"; }
+std::string opening() {
+  return "OPEN 5a1 2e c=plain,t=x,d=2000,g=3d\r\n";
+}
 
 }  // namespace
 
--- a/tests/sidecar/fuzz.cpp
+++ b/tests/sidecar/fuzz.cpp
@@ -12,13 +12,17 @@
   if (!parsed.fault) {
     const std::string once = format(parsed.items);
     const Parsed again = parse(once);
-    if (again.fault || format(again.items) != once) std::abort();
+    if (again.fault || format(again.items) != once)
+      std::abort();
   }
   const Document document = load_text(text, "x.dw");
-  for (const Fault& fault : document.faults) told(document, fault, true);
-  if (!document.good()) return 0;
+  for (const Fault& fault : document.faults)
+    told(document, fault, true);
+  if (!document.good())
+    return 0;
   const auto json = render(document);
   const Imported back = import(json);
-  if (!back.fault.empty() || render(load_text(back.text, "x.dw")) != json) std::abort();
+  if (!back.fault.empty() || render(load_text(back.text, "x.dw")) != json)
+    std::abort();
   return 0;
 }
--- a/tests/sidecar/language.cpp
+++ b/tests/sidecar/language.cpp
@@ -37,15 +37,19 @@
 const std::string kGood = text_of(fs::path(PROFILES) / "plain.dw");
 
 std::string first_fault(const Document& document) {
-  for (const Fault& fault : document.faults)
-    if (!fault.warning) return told(document, fault, false);
+  for (const Fault& fault : document.faults) {
+    if (!fault.warning) {
+      return told(document, fault, false);
+    }
+  }
   return "";
 }
 
 TEST(Faulty, EachFileHasItsMessageItsLineAndItsColumn) {
   int count = 0;
   for (const auto& entry : fs::directory_iterator(FAULTY)) {
-    const std::string text = text_of(entry.path()), path = entry.path().string();
+    const std::string text = text_of(entry.path());
+    const std::string path = entry.path().string();
     const std::size_t at = text.find("# EXPECT ");
     ASSERT_NE(at, std::string::npos) << path;
     std::string wanted = text.substr(at + 9, text.find('\n', at) - at - 9);
@@ -56,7 +60,9 @@
       const std::string line = told(document, fault, false);
       all += line + "\n";
       std::string plain = line;
-      if (fault.warning) plain.replace(plain.find("warning: "), 9, "");
+      if (fault.warning) {
+        plain.replace(plain.find("warning: "), 9, "");
+      }
       found = found || plain.starts_with(path + ":" + wanted);
       EXPECT_EQ(line.find('\n'), std::string::npos);
       EXPECT_NE(line.find("; expected"), std::string::npos) << line;
@@ -121,7 +127,9 @@
 
 TEST(Text, LineEndsMarksTabsAndLettersOfAllKindsAreTaken) {
   std::string crlf = "\xEF\xBB\xBF";
-  for (const char letter : kGood) crlf += letter == '\n' ? "\r\n" : std::string(1, letter);
+  for (const char letter : kGood) {
+    crlf += letter == '\n' ? "\r\n" : std::string(1, letter);
+  }
   EXPECT_EQ(first_fault(load_text(crlf, "x.dw")), "");
   EXPECT_EQ(render(load_text(crlf, "x.dw")), render(load_text(kGood, "x.dw")));
   std::string named = kGood + "tenant \"cevichería-ñandú-鮨\" {\n\tshare\t=\t20%\t# ¡todo!\n}\n";
@@ -136,7 +144,9 @@
   EXPECT_TRUE(first_fault(load_text("ab\n\xFF\xFE", "x.dw")).starts_with("x.dw:2:1: this is no UTF-8"));
   EXPECT_TRUE(first_fault(load_text("\xC0\x80", "x.dw")).starts_with("x.dw:1:1: this is no UTF-8"));
   std::string deep;
-  for (int i = 0; i < 10000; ++i) deep += "a {";
+  for (int i = 0; i < 10000; ++i) {
+    deep += "a {";
+  }
   EXPECT_NE(first_fault(load_text(deep, "x.dw")).find("blocks stand too deep"), std::string::npos);
   EXPECT_NE(first_fault(load_text(std::string(2 << 20, '#'), "x.dw")).find("expected 1048576 at the most"),
             std::string::npos);
@@ -147,7 +157,8 @@
   for (const auto& [left, right] : {std::pair("800ms", "0.8s"), std::pair("90s", "1.5min"),
                                     std::pair("1KiB", "1024B"), std::pair("1.5MiB", "1536KiB")}) {
     EXPECT_DOUBLE_EQ(scalar_of(left).amount, scalar_of(right).amount);
-    Value a, b;
+    Value a;
+    Value b;
     a.type = scalar_of(left).type, b.type = scalar_of(right).type;
     a.amount = scalar_of(left).amount, b.amount = scalar_of(right).amount;
     EXPECT_EQ(canonical(a), canonical(b));
@@ -162,21 +173,30 @@
 std::string drawn_value(const Row& row) {
   using rc::gen::inRange;
   const auto words = words_of(row);
-  if (!words.empty()) return *rc::gen::elementOf(words);
-  const double at = *inRange(0, 1001) / 1000.0, amount = row.least + (row.most - row.least) * at;
+  if (!words.empty()) {
+    return *rc::gen::elementOf(words);
+  }
+  const double at = *inRange(0, 1001) / 1000.0;
+  const double amount = row.least + (row.most - row.least) * at;
   switch (row.type) {
     case Type::duration: {
       const double ms = std::max(row.least, std::round(amount * at * at * at));
       return *inRange(0, 2) ? duration_text(ms) : number_text(ms) + "ms";
     }
-    case Type::size: return std::to_string(static_cast<long>(amount / 1048576) + 8) + "MiB";
-    case Type::share: return std::to_string(*inRange(1, 10)) + "%";
-    case Type::number: return number_text(std::max(row.least, std::floor(amount * at * at)));
-    case Type::flag: return *inRange(0, 2) ? "on" : "off";
+    case Type::size:
+      return std::to_string(static_cast<long>(amount / 1048576) + 8) + "MiB";
+    case Type::share:
+      return std::to_string(*inRange(1, 10)) + "%";
+    case Type::number:
+      return number_text(std::max(row.least, std::floor(amount * at * at)));
+    case Type::flag:
+      return *inRange(0, 2) ? "on" : "off";
     case Type::address:
       return "127.0.0." + std::to_string(*inRange(1, 255)) + ":" + std::to_string(*inRange(1, 65536));
-    case Type::list: return "[ \"t0\" ]";
-    default: return "\"" + std::to_string(*inRange(0, 99999)) + "\"";
+    case Type::list:
+      return "[ \"t0\" ]";
+    default:
+      return "\"" + std::to_string(*inRange(0, 99999)) + "\"";
   }
 }
 
@@ -185,8 +205,9 @@
   using rc::gen::inRange;
   std::string out;
   const auto blank = [&] {
-    for (int n = *inRange(0, 3); n > 0; --n)
+    for (int n = *inRange(0, 3); n > 0; --n) {
       out += *rc::gen::elementOf(std::vector<std::string>{"\n", "# note\n", "  \t\n", "\n\n"});
+    }
   };
   for (const BlockRow& block : blocks()) {
     const int count = std::string(block.name) == "route" ? 0
@@ -199,7 +220,9 @@
              (block.labelled ? " \"" + std::string(1, block.name[0]) + std::to_string(i) + "\"" : "") +
              (*inRange(0, 2) ? " {\n" : "{ # what it is\n");
       for (const Row& row : rows()) {
-        if (std::string(row.block) != block.name || (*row.without && *inRange(0, 3) == 0)) continue;
+        if (std::string(row.block) != block.name || (*row.without && *inRange(0, 3) == 0)) {
+          continue;
+        }
         blank();
         out += std::string(static_cast<std::size_t>(*inRange(0, 5)), ' ') + row.name +
                (*inRange(0, 2) ? "=" : "  = ") + drawn_value(row) +
@@ -217,10 +240,13 @@
   const Document document = load_text(text, "x.dw");
   for (const Block& block : document.blocks) {
     out += std::string(block.row->name) + " " + block.label + "\n";
-    for (const Setting& one : block.settings)
+    for (const Setting& one : block.settings) {
       out += std::string(one.row->name) + " " + canonical(one.value) + "\n";
+    }
+  }
+  for (const Fault& fault : document.faults) {
+    out += fault.what.substr(0, fault.what.find("stands at")) + "\n";
   }
-  for (const Fault& fault : document.faults) out += fault.what.substr(0, fault.what.find("stands at")) + "\n";
   return out;
 }
 std::size_t comments(const std::string& text) {
@@ -229,7 +255,8 @@
 
 TEST(Format, IsTheSameTwiceAndKeepsMeaningAndComments) {
   for (const auto& entry : fs::directory_iterator(PROFILES)) {
-    const std::string text = text_of(entry.path()), once = format(parse(text).items);
+    const std::string text = text_of(entry.path());
+    const std::string once = format(parse(text).items);
     EXPECT_EQ(format(parse(once).items), once);
     EXPECT_EQ(meaning(once), meaning(text));
     EXPECT_EQ(comments(once), comments(text));
@@ -313,7 +340,8 @@
 }
 
 TEST(Together, TwoSidecarsWithOnePortOrOneNameAreFound) {
-  std::string other = kGood, third = kGood;
+  std::string other = kGood;
+  std::string third = kGood;
   other.replace(other.find("\"application\""), 13, "\"other\"");
   third.replace(third.find("\"application\""), 13, "\"third\"");
   third.replace(third.find("127.0.0.1:8000"), 14, "0.0.0.0:8000");
@@ -373,9 +401,11 @@
   const std::string page = text_of(fs::path(DOCS) / "configuration.md");
   EXPECT_NE(page.find(reference()), std::string::npos)
       << "run dapplewharfctl config reference and put it into docs/configuration.md";
-  int good = 0, faulty = 0;
+  int good = 0;
+  int faulty = 0;
   for (std::size_t at = 0; (at = page.find("```dw", at)) != std::string::npos;) {
-    const std::size_t begin = page.find('\n', at) + 1, end = page.find("```", begin);
+    const std::size_t begin = page.find('\n', at) + 1;
+    const std::size_t end = page.find("```", begin);
     const bool wrong = page.substr(at, begin - at).find("faulty") != std::string::npos;
     const Parsed parsed = parse(page.substr(begin, end - begin));
     EXPECT_EQ(parsed.fault.has_value(), wrong)
@@ -392,7 +422,9 @@
     ASSERT_NE(block_of(row.block), nullptr) << row.block;
     EXPECT_FALSE(std::string(row.help).empty());
     EXPECT_NE(explain(std::string(row.block) + "." + row.name), "");
-    if (!*row.without || std::string(row.without) == "-") continue;
+    if (!*row.without || std::string(row.without) == "-") {
+      continue;
+    }
     const Parsed parsed = parse("x = " + std::string(row.without) + "\n");
     ASSERT_FALSE(parsed.fault) << row.name;
     EXPECT_EQ(parsed.items[0].value->type, row.type) << row.block << "." << row.name;
--- a/tests/stories.cpp
+++ b/tests/stories.cpp
@@ -12,7 +12,9 @@
   Fake fake;
   fake.start(6);
   fake.arrive("a");
-  for (int i = 0; i < 3; ++i) fake.end("a", Outcome::error);
+  for (int i = 0; i < 3; ++i) {
+    fake.end("a", Outcome::error);
+  }
   EXPECT_EQ(std::set<std::string>(fake.tries["a"].begin(), fake.tries["a"].end()).size(), 4u);
   fake.end("a", Outcome::error);
   EXPECT_TRUE(fake.said(ActionKind::reject, "a"));
@@ -77,7 +79,9 @@
 TEST(Effects, ADeduplicatedStaysInTheZoneThatDropsItsRepeatsAndInTheWindow) {
   Fake fake;
   fake.start(3);
-  for (int i = 0; i < 3; ++i) fake.list(Fake::listing("far" + std::to_string(i), "far"), HostState::healthy);
+  for (int i = 0; i < 3; ++i) {
+    fake.list(Fake::listing("far" + std::to_string(i), "far"), HostState::healthy);
+  }
   const std::string first = fake.arrive("a", 1, "marked");
   fake.end("a", Outcome::no_answer);
   ASSERT_EQ(fake.tries["a"].size(), 2u);
@@ -92,7 +96,9 @@
     Fake fake;
     fake.start(2);
     fake.list(Fake::listing("h0"), state);
-    for (int i = 0; i < 40; ++i, fake.now += 10000) EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h1");
+    for (int i = 0; i < 40; ++i, fake.now += 10000) {
+      EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h1");
+    }
   }
   Fake fake;
   fake.start(2);
@@ -100,7 +106,9 @@
   whole.kind = EventKind::list_whole;
   whole.listings.push_back(Fake::listing("h1"));
   fake.tell(whole);
-  for (int i = 0; i < 40; ++i, fake.now += 10000) EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h1");
+  for (int i = 0; i < 40; ++i, fake.now += 10000) {
+    EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h1");
+  }
 }
 
 TEST(Drains, AMidFlowArrivalMayReachADrainingHostOnlyWithinTheGrace) {
@@ -117,14 +125,17 @@
   fake.start(1);
   fake.list(Fake::listing("h0", "near", fake.now), HostState::healthy);
   int sent = 0;
-  for (int i = 0; i < 50; ++i) sent += fake.arrive("a" + std::to_string(i), i).empty() ? 0 : 1;
+  for (int i = 0; i < 50; ++i) {
+    sent += fake.arrive("a" + std::to_string(i), i).empty() ? 0 : 1;
+  }
   EXPECT_GE(sent, 1);
   EXPECT_LE(sent, 2);
   EXPECT_TRUE(fake.said(ActionKind::reject));
 }
 
 TEST(Ring, ASecondNodeMapsAlikeAndALossMovesOnlyItsOwnKeys) {
-  Fake one, two;
+  Fake one;
+  Fake two;
   one.start(5, 1);
   two.start(5, 2);
   std::map<int, std::string> before;
@@ -138,7 +149,9 @@
   for (int i = 0; i < 30; ++i, one.now += 10000) {
     const std::string after = one.arrive("c" + std::to_string(i), i);
     one.end("c" + std::to_string(i), Outcome::honoured, true);
-    if (before[i] != "h2") { EXPECT_EQ(after, before[i]); }
+    if (before[i] != "h2") {
+      EXPECT_EQ(after, before[i]);
+    }
   }
 }
 
@@ -150,10 +163,14 @@
   fake.end("a", Outcome::cancelled, true);
   EXPECT_EQ(fake.arrive("b", 1), first);  // alone it sees nothing that speaks against it
   fake.end("b", Outcome::cancelled, true);
-  for (int i = 0; i < 4; ++i) fake.held("h" + std::to_string(i), first == "h" + std::to_string(i) ? 60 : 20);
+  for (int i = 0; i < 4; ++i) {
+    fake.held("h" + std::to_string(i), first == "h" + std::to_string(i) ? 60 : 20);
+  }
   EXPECT_NE(fake.arrive("c", 1), first);
   fake.end("c", Outcome::cancelled, true);
-  for (int i = 0; i < 4; ++i) fake.held("h" + std::to_string(i), -1);  // nobody is heard any more
+  for (int i = 0; i < 4; ++i) {
+    fake.held("h" + std::to_string(i), -1);  // nobody is heard any more
+  }
   EXPECT_EQ(fake.arrive("d", 1), first);
 }
 
@@ -161,7 +178,9 @@
   Fake fake;
   fake.start(3);
   std::set<std::string> used;
-  for (int i = 0; i < 12; ++i) used.insert(fake.arrive("a" + std::to_string(i), 5)), fake.now += 10000;
+  for (int i = 0; i < 12; ++i) {
+    used.insert(fake.arrive("a" + std::to_string(i), 5)), fake.now += 10000;
+  }
   EXPECT_EQ(used.size(), 3u);
 }
 
@@ -182,13 +201,16 @@
 TEST(Freeze, WhenMostHostsDegradeAtOnceTheWeightsStay) {
   Fake fake;
   fake.start(5);
-  for (int i = 0; i < 5; ++i) fake.silent.insert("h" + std::to_string(i));
+  for (int i = 0; i < 5; ++i) {
+    fake.silent.insert("h" + std::to_string(i));
+  }
   fake.pass(60000);
   EXPECT_NE(fake.arrive("a", 3), "");
 }
 
 TEST(Same, TheSameEventsGiveTheSameActions) {
-  Fake one, two;
+  Fake one;
+  Fake two;
   one.start(5);
   two.start(5);
   for (int i = 0; i < 40; ++i) {
@@ -217,7 +239,9 @@
   fake.stand("a");
   fake.delay("a", 2000);
   EXPECT_NE(fake.arrive("b", 1), home);
-  for (int i = 0; i < 40 && fake.moved.empty(); ++i) fake.delay("a", 2000), fake.pass(5000);
+  for (int i = 0; i < 40 && fake.moved.empty(); ++i) {
+    fake.delay("a", 2000), fake.pass(5000);
+  }
   EXPECT_EQ(fake.moved, std::vector<std::string>{"a"});
 }
 
@@ -228,9 +252,13 @@
   int moved = 0;
   for (int i = 0; i < 40; ++i) {
     Fake fake;
-    if (told >= 0) fake.settings["nodes"] = 40.0;
+    if (told >= 0) {
+      fake.settings["nodes"] = 40.0;
+    }
     fake.start(4, static_cast<std::uint64_t>(i));
-    for (int host = 0; told >= 0 && host < 4; ++host) fake.held("h" + std::to_string(host), told);
+    for (int host = 0; told >= 0 && host < 4; ++host) {
+      fake.held("h" + std::to_string(host), told);
+    }
     fake.arrive("a", i, "plain", false, group.value_or(i));
     fake.stand("a");
     fake.delay("a", delay);
@@ -276,7 +304,9 @@
   fake.delay("first", 2000);
   fake.pass(1000);
   int taken = 0;
-  for (int i = 0; i < 40; ++i) taken += fake.arrive("a" + std::to_string(i), i).empty() ? 0 : 1;
+  for (int i = 0; i < 40; ++i) {
+    taken += fake.arrive("a" + std::to_string(i), i).empty() ? 0 : 1;
+  }
   EXPECT_GT(taken, 0);
   EXPECT_LT(taken, 20);
   fake.now += 10000;
@@ -343,8 +373,9 @@
     fake.list(Fake::listing("new", "near", started), HostState::healthy);
   }
   bool used = false;
-  for (int i = 0; i < 40; ++i, fake.now += 10000)
+  for (int i = 0; i < 40; ++i, fake.now += 10000) {
     used = fake.arrive("a" + std::to_string(i), i) == "new" || used;
+  }
   EXPECT_TRUE(used);
 }
 
@@ -388,8 +419,11 @@
   answer.report = {0.9};
   fake.tell(answer);
   ASSERT_EQ(fake.probes.size(), 2u);
-  for (const Action& action : fake.last)
-    if (action.kind == ActionKind::probe) answer.host = action.host;
+  for (const Action& action : fake.last) {
+    if (action.kind == ActionKind::probe) {
+      answer.host = action.host;
+    }
+  }
   EXPECT_NE(answer.host, home);
   answer.report = {0.2};
   fake.tell(answer);
@@ -471,7 +505,9 @@
   fake.stand("first");
   fake.delay("first", 600);
   std::set<std::string> used;
-  for (int i = 0; i < 40; ++i) used.insert(fake.arrive("a" + std::to_string(i), 1));
+  for (int i = 0; i < 40; ++i) {
+    used.insert(fake.arrive("a" + std::to_string(i), 1));
+  }
   EXPECT_GT(used.size(), 3u);
 }
 
@@ -483,7 +519,9 @@
   fake.stand("first");
   fake.delay("first", 600);
   std::set<std::string> used;
-  for (int i = 0; i < 12; ++i) used.insert(fake.arrive("a" + std::to_string(i), i, "plain", false, 77));
+  for (int i = 0; i < 12; ++i) {
+    used.insert(fake.arrive("a" + std::to_string(i), i, "plain", false, 77));
+  }
   used.erase("");
   EXPECT_GE(used.size(), 1u);
   EXPECT_LE(used.size(), 2u);
@@ -492,7 +530,9 @@
 TEST(Crowds, SetUpsThatGoWrongAtMostHostsAreLimitedAndNoHostIsBlamed) {
   Fake fake;
   fake.start(8);
-  for (int i = 0; i < 40; ++i) fake.arrive("a" + std::to_string(i), i);
+  for (int i = 0; i < 40; ++i) {
+    fake.arrive("a" + std::to_string(i), i);
+  }
   std::size_t sent = 0;
   for (int i = 0; i < 40; ++i) {
     fake.now += 100;
@@ -502,8 +542,9 @@
   EXPECT_LT(sent, 60u) << "all 40 would try again at once";
   fake.pass(60000);
   std::set<std::string> used;
-  for (int i = 0; i < 60; ++i)
+  for (int i = 0; i < 60; ++i) {
     used.insert(fake.arrive("b" + std::to_string(i), i)), fake.stand("b" + std::to_string(i));
+  }
   EXPECT_EQ(used.size(), 8u);
 }
 
@@ -515,8 +556,9 @@
       fake.settings["zone"] = std::string(zone);
       fake.settings["price_crossing"] = price;
       fake.start(4);
-      for (int i = 0; i < 4; ++i)
+      for (int i = 0; i < 4; ++i) {
         fake.list(Fake::listing("f" + std::to_string(i), "far"), HostState::healthy);
+      }
       fake.pass(100000);
       fake.arrive("late", 1, "plain", false, 99);
       fake.stand("late");
@@ -528,8 +570,9 @@
       }
     }
     int same = 0;
-    for (int i = 0; i < 10; ++i)
+    for (int i = 0; i < 10; ++i) {
       same += !placed["near"][i].empty() && placed["near"][i] == placed["far"][i] ? 1 : 0;
+    }
     EXPECT_EQ(same >= 4, price < 0.1) << same;
   }
 }
@@ -543,10 +586,13 @@
       Fake fake;
       fake.settings["zone"] = std::string(zone);
       fake.settings["price_crossing"] = 0.05;
-      if (reported) fake.settings["report.load"] = 0.0, fake.load = 0.1;
+      if (reported) {
+        fake.settings["report.load"] = 0.0, fake.load = 0.1;
+      }
       fake.start(4);
-      for (int i = 0; i < 4; ++i)
+      for (int i = 0; i < 4; ++i) {
         fake.list(Fake::listing("f" + std::to_string(i), "far"), HostState::healthy);
+      }
       fake.pass(100000);
       for (int i = 0; i < 10; ++i) {
         const std::string id = "a" + std::to_string(i);
@@ -557,9 +603,14 @@
       }
     }
     int same = 0;
-    for (int i = 0; i < 10; ++i) same += placed["near"][i] == placed["far"][i] ? 1 : 0;
-    if (reported) EXPECT_EQ(same, 0) << "with room told, each in its own zone";
-    else EXPECT_EQ(same, 10);
+    for (int i = 0; i < 10; ++i) {
+      same += placed["near"][i] == placed["far"][i] ? 1 : 0;
+    }
+    if (reported) {
+      EXPECT_EQ(same, 0) << "with room told, each in its own zone";
+    } else {
+      EXPECT_EQ(same, 10);
+    }
   }
 }
 
@@ -605,8 +656,9 @@
 }
 
 TEST(Cold, WhereOthersTellWhatTheyHoldAColdHostIsNotHeldToLessThanItsPart) {
-  int heard = 0, alone = 0;
-  for (int n = 0; n < 200; ++n)
+  int heard = 0;
+  int alone = 0;
+  for (int n = 0; n < 200; ++n) {
     for (const bool told : {true, false}) {
       Fake fake;
       fake.settings["nodes"] = 100.0, fake.settings["me"] = static_cast<double>(n % 100);
@@ -614,16 +666,20 @@
       fake.settings["tenant.0.open"] = 40.0;
       fake.start(1, static_cast<std::uint64_t>(n));
       fake.list(Fake::listing("h0", "near", fake.now), HostState::healthy);
-      if (told) fake.held("h0", 20);
+      if (told) {
+        fake.held("h0", 20);
+      }
       fake.pass(20000);
       (told ? heard : alone) += fake.arrive("a", 1).empty() ? 0 : 1;
     }
+  }
   EXPECT_GT(2 * heard, 3 * alone);  // turns are the same for both
   EXPECT_LT(heard, 200 * 0.3);
 }
 
 TEST(Cold, ManyNodesThatHoldLittleStillGiveColdHostsTheirPartAndNoMore) {
-  int cold = 0, all = 0;
+  int cold = 0;
+  int all = 0;
   for (int n = 0; n < 100; ++n) {
     Fake fake;
     fake.settings["nodes"] = 100.0, fake.settings["me"] = static_cast<double>(n);
@@ -658,7 +714,9 @@
   for (const char* id : {"b", "c", "d", "e"}) {  // some may find their one host late
     event.id = id;
     fake.tell(event);
-    if (!fake.said(ActionKind::reject)) return;
+    if (!fake.said(ActionKind::reject)) {
+      return;
+    }
   }
   FAIL() << "all rejected";
 }
@@ -666,7 +724,9 @@
 TEST(Stopping, EverythingThatStandsIsMovedOnceTheFrontHasStopped) {
   Fake fake;
   fake.start(3);
-  for (int i = 0; i < 12; ++i) fake.arrive("a" + std::to_string(i), i), fake.stand("a" + std::to_string(i));
+  for (int i = 0; i < 12; ++i) {
+    fake.arrive("a" + std::to_string(i), i), fake.stand("a" + std::to_string(i));
+  }
   Event stop;
   stop.kind = EventKind::stopping;
   fake.tell(stop);
@@ -712,7 +772,9 @@
     fake.tell(lost);
     fake.pass(120000);
     EXPECT_GE(fake.moved.size() * 2, there);
-    for (const std::string& id : fake.moved) EXPECT_EQ(fake.tries[id].back(), "h0");
+    for (const std::string& id : fake.moved) {
+      EXPECT_EQ(fake.tries[id].back(), "h0");
+    }
   }
 }
 
@@ -722,9 +784,12 @@
 std::map<std::string, int> spread(Fake& fake, int from, int clients) {
   std::map<std::string, int> at;
   for (int i = from; i < from + clients; ++i) {
-    const std::string id = "s" + std::to_string(i), host = fake.arrive(id, i);
+    const std::string id = "s" + std::to_string(i);
+    const std::string host = fake.arrive(id, i);
     ++at[host];
-    if (!host.empty()) fake.stand(id);
+    if (!host.empty()) {
+      fake.stand(id);
+    }
   }
   return at;
 }
@@ -739,7 +804,9 @@
     entry.kind = "three", entry.size = weight;
     fake.list(entry, HostState::healthy);
   };
-  for (int i = 0; i < 6; ++i) list("h" + std::to_string(i), 3);
+  for (int i = 0; i < 6; ++i) {
+    list("h" + std::to_string(i), 3);
+  }
   fake.pass(100000);
   std::map<std::int64_t, std::string> before;
   for (std::int64_t group = 0; group < 20; ++group) {
@@ -747,11 +814,14 @@
     before[group] = fake.arrive(id, group, "plain", false, group);
     fake.end(id, Outcome::cancelled, true);
   }
-  for (int i = 0; i < 6; ++i)
+  for (int i = 0; i < 6; ++i) {
     list("h" + std::to_string(i), i == 0 ? 0.1 : 1.5);  // 87 held at h0, 3 elsewhere
-  int stayed = 0, to_the_full_one = 0;
+  }
+  int stayed = 0;
+  int to_the_full_one = 0;
   for (std::int64_t group = 0; group < 20; ++group) {
-    const std::string id = "b" + std::to_string(group), host = fake.arrive(id, group, "plain", false, group);
+    const std::string id = "b" + std::to_string(group);
+    const std::string host = fake.arrive(id, group, "plain", false, group);
     fake.end(id, Outcome::cancelled, true);
     stayed += before[group] != "h0" && host == before[group] ? 1 : 0;
     to_the_full_one += host == "h0" ? 1 : 0;
@@ -796,14 +866,21 @@
     fake.stand(id);
   }
   std::map<std::string, int> holds;
-  for (int i = 0; i < 20; ++i) ++holds[fake.tries["a" + std::to_string(i)].back()];
+  for (int i = 0; i < 20; ++i) {
+    ++holds[fake.tries["a" + std::to_string(i)].back()];
+  }
   const auto most =
       std::max_element(holds.begin(), holds.end(), [](auto& a, auto& b) { return a.second < b.second; });
   ASSERT_GE(most->second, 2);
   std::string one;
-  for (int i = 0; i < 20; ++i)
-    if (fake.tries["a" + std::to_string(i)].back() == most->first) one = "a" + std::to_string(i);
-  for (int step = 0; step < 3; ++step) fake.delay(one, 600), fake.pass(5000);
+  for (int i = 0; i < 20; ++i) {
+    if (fake.tries["a" + std::to_string(i)].back() == most->first) {
+      one = "a" + std::to_string(i);
+    }
+  }
+  for (int step = 0; step < 3; ++step) {
+    fake.delay(one, 600), fake.pass(5000);
+  }
   EXPECT_LT(fake.moved.size(), static_cast<std::size_t>(most->second))
       << "all at a stroke is the next host's end";
 }
@@ -812,9 +889,12 @@
   Fake fake;
   fake.start(12);
   fake.pass(100000);
-  for (int i = 0; i < 11; ++i) fake.list(Fake::listing("h" + std::to_string(i)), HostState::gone);
-  for (int i = 0; i < 20; ++i)  // eleven gone hosts stand before the last one in many routes
+  for (int i = 0; i < 11; ++i) {
+    fake.list(Fake::listing("h" + std::to_string(i)), HostState::gone);
+  }
+  for (int i = 0; i < 20; ++i) {  // eleven gone hosts stand before the last one in many routes
     EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h11");
+  }
 }
 
 TEST(Probes, WhereLittleComesAndLoadsAreReportedSteadyOnesAreFew) {
@@ -825,7 +905,9 @@
     fake.settings["price_probe"] = price;
     fake.start(12);
     fake.pass(600000);
-    for (const auto& [host, probes] : fake.probes) sent[price] += probes;
+    for (const auto& [host, probes] : fake.probes) {
+      sent[price] += probes;
+    }
   }
   EXPECT_GT(sent[0.0], 400);
   EXPECT_LT(sent[0.004] * 5, sent[0.0]);
@@ -845,9 +927,13 @@
       const std::string id = "a" + std::to_string(i);
       fake.arrive(id, i);
       fake.answer_probes();
-      if (!fake.tries[id].empty()) fake.stand(id);
+      if (!fake.tries[id].empty()) {
+        fake.stand(id);
+      }
+    }
+    for (int i = 0; i < 4; ++i) {
+      fake.list(Fake::listing("h" + std::to_string(i)), HostState::draining);
     }
-    for (int i = 0; i < 4; ++i) fake.list(Fake::listing("h" + std::to_string(i)), HostState::draining);
     fake.list(Fake::listing("new", "near", fake.now), HostState::healthy);
     for (int i = 0; i < 40; ++i) {
       fake.now += 500;
@@ -865,7 +951,9 @@
 TEST(Crowd, ANewNodeDoesNotHeapAllOnItsOneNearHost) {
   for (const bool told : {false, true}) {
     Fake fake;
-    if (told) fake.settings["tenant.0.name"] = "t", fake.settings["tenant.0.open"] = 40.0;
+    if (told) {
+      fake.settings["tenant.0.name"] = "t", fake.settings["tenant.0.open"] = 40.0;
+    }
     fake.start(1);
     fake.list(Fake::listing("far", "far"), HostState::healthy);
     fake.pass(200000);
@@ -878,12 +966,17 @@
 TEST(Crowd, AHostFarFromItsPartOfTheSharesTakesFreelyWhileAnotherIsInTrouble) {
   for (const bool told : {false, true}) {
     Fake fake;
-    if (told) fake.settings["tenant.0.name"] = "t", fake.settings["tenant.0.open"] = 200.0;
+    if (told) {
+      fake.settings["tenant.0.name"] = "t", fake.settings["tenant.0.open"] = 200.0;
+    }
     fake.start(3);
     fake.pass(200000);
     spread(fake, 0, 12);
-    for (int i = 0; i < 12; ++i)
-      if (fake.tries["s" + std::to_string(i)].back() == "h0") fake.delay("s" + std::to_string(i), 5000);
+    for (int i = 0; i < 12; ++i) {
+      if (fake.tries["s" + std::to_string(i)].back() == "h0") {
+        fake.delay("s" + std::to_string(i), 5000);
+      }
+    }
     EXPECT_EQ(spread(fake, 12, 20)[""], told ? 0 : 20) << "rejected, though two hosts stand all but idle";
   }
 }
@@ -894,7 +987,9 @@
   fake.list(Fake::listing("far", "far"), HostState::healthy);
   fake.pass(200000);
   spread(fake, 0, 40);
-  for (int i = 0; i < 4; ++i) fake.end("s" + std::to_string(i), Outcome::lost, true);
+  for (int i = 0; i < 4; ++i) {
+    fake.end("s" + std::to_string(i), Outcome::lost, true);
+  }
   EXPECT_GE(spread(fake, 40, 20)["far"], 4) << "a quarter of what hosts hold, not the least of two";
 }
 
@@ -918,8 +1013,9 @@
   {
     Fake fake;
     fake.start(40);
-    for (; fake.arrive("g" + std::to_string(group), 1, "plain", false, group) != "h0"; ++group)
+    for (; fake.arrive("g" + std::to_string(group), 1, "plain", false, group) != "h0"; ++group) {
       fake.end("g" + std::to_string(group), Outcome::honoured, true);
+    }
   }
   int sent = 0;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
@@ -936,7 +1032,8 @@
 
 // After 23 of 72 hosts had fallen together each was sent one try in eight seconds, while 100 nodes rejected.
 TEST(Cold, InACrowdAllNodesTakeTurnsThatAddUpToWhatAColdHostBears) {
-  int sent = 0, greatest = 0;
+  int sent = 0;
+  int greatest = 0;
   std::vector<int> when(60);
   for (int n = 0; n < 100; ++n) {
     Fake fake;
@@ -946,19 +1043,25 @@
     fake.start(2, static_cast<std::uint64_t>(n));
     fake.arrive("old", n);
     fake.stand("old");
-    const std::string late = fake.tries["old"].back(), cold = late == "h0" ? "h1" : "h0";
+    const std::string late = fake.tries["old"].back();
+    const std::string cold = late == "h0" ? "h1" : "h0";
     const Tenths began = fake.now;
     fake.list(Fake::listing(cold, "near", began), HostState::healthy);
     for (int i = 0; fake.now < began + 60000; fake.now += 1000, ++i) {
       fake.delay("old", 900);  // the only warm host is late: a crowd
       const std::string at = fake.arrive("a" + std::to_string(i), n * 100 + i);
-      if (at == cold) ++sent, ++when[static_cast<std::size_t>((fake.now - began) / 1000)];
-      if (!at.empty()) fake.stand("a" + std::to_string(i));
+      if (at == cold) {
+        ++sent, ++when[static_cast<std::size_t>((fake.now - began) / 1000)];
+      }
+      if (!at.empty()) {
+        fake.stand("a" + std::to_string(i));
+      }
     }
   }
-  for (std::size_t i = 0; i + 20 <= when.size(); ++i)
+  for (std::size_t i = 0; i + 20 <= when.size(); ++i) {
     greatest = std::max(greatest, std::accumulate(when.begin() + static_cast<long>(i),
                                                   when.begin() + static_cast<long>(i) + 20, 0));
+  }
   EXPECT_GT(sent, 40) << "what it bears is made use of";
   EXPECT_LT(greatest, 2.5 * 0.9 * 100 / 4) << "and no window goes over the multiple";
 }
@@ -968,20 +1071,30 @@
 TEST(Behind, ATryKeepsAllItsTimeAndNoHostIsBlamedUntilOneGoesWell) {
   Fake fake;
   fake.start(8);
-  for (int i = 0; i < 8; ++i) fake.arrive("a" + std::to_string(i), i * 1000);
+  for (int i = 0; i < 8; ++i) {
+    fake.arrive("a" + std::to_string(i), i * 1000);
+  }
   const auto fails = [&](const std::string& id) {
-    for (std::size_t made = 0; made < fake.tries[id].size();)
+    for (std::size_t made = 0; made < fake.tries[id].size();) {
       made = fake.tries[id].size(), fake.end(id, Outcome::no_answer);
+    }
   };
-  for (int i = 0; i < 8; ++i) fails("a" + std::to_string(i));
+  for (int i = 0; i < 8; ++i) {
+    fails("a" + std::to_string(i));
+  }
   Tenths time_out = 0;
   for (int i = 0; i < 12; ++i) {
     const std::string id = "b" + std::to_string(i);
     fake.pass(15000);  // longer than what is kept of each host's last set-up
     fake.arrive(id, i * 777);
-    if (fake.tries[id].empty()) continue;
-    for (const Action& action : fake.last)
-      if (action.kind == ActionKind::setup_try) time_out = action.time;
+    if (fake.tries[id].empty()) {
+      continue;
+    }
+    for (const Action& action : fake.last) {
+      if (action.kind == ActionKind::setup_try) {
+        time_out = action.time;
+      }
+    }
     EXPECT_EQ(time_out, 30000);
     fails(id);
     EXPECT_FALSE(std::any_of(fake.last.begin(), fake.last.end(), [](const Action& action) {
@@ -1001,8 +1114,9 @@
   std::size_t further = 0;
   void fails(const std::string& id, Outcome outcome) {
     arrive(id, static_cast<std::int64_t>(hash(id) >> 12));
-    for (std::size_t before = 0; tries[id].size() > before && tries[id].size() < 9;)
+    for (std::size_t before = 0; tries[id].size() > before && tries[id].size() < 9;) {
       before = tries[id].size(), end(id, outcome);
+    }
     further += tries[id].size() - 1;
   }
 };
@@ -1015,7 +1129,9 @@
     EXPECT_EQ(fake.further, 2u);
     EXPECT_TRUE(fake.said(ActionKind::reject, "a")) << "answered at once";
     EXPECT_GT(fake.told("a"), 0);
-    for (int i = 0; i < 8; ++i) fake.fails("b" + std::to_string(i), outcome);
+    for (int i = 0; i < 8; ++i) {
+      fake.fails("b" + std::to_string(i), outcome);
+    }
     EXPECT_EQ(fake.further, 2u) << "nine were taken, ten would allow a third";
     fake.fails("c", outcome);
     EXPECT_EQ(fake.further, 3u) << "what ends rejected was taken all the same";
@@ -1038,15 +1154,22 @@
   fake.settings["report.load"] = 0.0;
   fake.load = 0.2;
   fake.start(8);
-  for (const char* id : {"a", "b", "c", "d"}) fake.arrive(id), fake.answer_probes();
+  for (const char* id : {"a", "b", "c", "d"}) {
+    fake.arrive(id), fake.answer_probes();
+  }
   fake.now += 16000;  // every report is old: hosts are looked at before they are sent anything
   std::vector<Action> looks;
-  for (const char* id : {"a", "b", "c", "d"})
-    for (const Action& action : fake.end(id, Outcome::error)) looks.push_back(action);
+  for (const char* id : {"a", "b", "c", "d"}) {
+    for (const Action& action : fake.end(id, Outcome::error)) {
+      looks.push_back(action);
+    }
+  }
   fake.last = looks;
   fake.answer_probes();
   std::size_t further = 0;
-  for (const char* id : {"a", "b", "c", "d"}) further += fake.tries[id].size() - 1;
+  for (const char* id : {"a", "b", "c", "d"}) {
+    further += fake.tries[id].size() - 1;
+  }
   EXPECT_EQ(further, 2u);
 }
 
--- a/tests/variants.cpp
+++ b/tests/variants.cpp
@@ -14,7 +14,9 @@
 
 double figure(const toml::table& site, const char* path, double otherwise) {
   const auto at = site.at_path(path);
-  if (const auto* range = at.as_array()) return range->front().value_or(otherwise);
+  if (const auto* range = at.as_array()) {
+    return range->front().value_or(otherwise);
+  }
   return at.value_or(otherwise);
 }
 
@@ -53,12 +55,15 @@
                            {"hardLimitMs", type["deadline_ms"].value_or(0.0)},
                            {"worth", type["worth"].value_or(0.0)}});
   }
-  for (const auto& entry : *site.at_path("fam.class").as_array())
+  for (const auto& entry : *site.at_path("fam.class").as_array()) {
     to["extra"]["messageAimMs"].push_back((*entry.as_table())["message_ms"].value_or(0.0));
-  if (const auto* tenants = site["tenant"].as_array())
-    for (const auto& entry : *tenants)
+  }
+  if (const auto* tenants = site["tenant"].as_array()) {
+    for (const auto& entry : *tenants) {
       to["realms"].push_back({{"name", (*entry.as_table())["name"].value_or("")},
                               {"portion", (*entry.as_table())["share"].value_or(0.0)}});
+    }
+  }
   return to;
 }
 
@@ -66,13 +71,15 @@
   const nlohmann::json env = settings_made_of(site);
   Net net(1024, true, [&](Configuration& to) {
     to.env = env;
-    for (auto& host : to.known["instances"]) host["zone"] = env["zone"];
+    for (auto& host : to.known["instances"]) {
+      host["zone"] = env["zone"];
+    }
   });
   const std::string tenant = env.contains("realms") ? env["realms"][0]["name"].get<std::string>() : "anybody";
   std::vector<int> clients;
   for (const auto& lane : env["lanes"]) {
-    const std::string name = lane["name"].get<std::string>(),
-                      wait = std::to_string(lane["hardLimitMs"].get<int>());
+    const std::string name = lane["name"].get<std::string>();
+    const std::string wait = std::to_string(lane["hardLimitMs"].get<int>());
     const std::string id = "v" + std::to_string(clients.size());
     clients.push_back(net.client("OPEN " + id + " 2e c=" + name + ",t=" + tenant + ",d=" + wait + "\r\n"));
     net.write(net.host_accepts(), "UP x\r\n");
@@ -83,9 +90,10 @@
   EXPECT_EQ(net.read(net.client("OPEN o 2e c=plain,t=" + tenant + ",d=100\r\n")), "ERR\r\n")
       << "another's type";
   nlohmann::json hosts = nlohmann::json::array();
-  for (const char* id : {"h0", "h1", "h2", "h3"})
+  for (const char* id : {"h0", "h1", "h2", "h3"}) {
     hosts.push_back(
         {{"instanceId", id}, {"hostPort", Net::text_of(net.hosts_at)}, {"lifecycle", "draining"}});
+  }
   net.answers = {
       Net::http(nlohmann::json({{"generation", 2}, {"reset", false}, {"instances", hosts}}).dump(2))};
   EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, 9000));
@@ -94,7 +102,9 @@
   const std::string last = "OPEN l 2e c=" + name + ",t=" + tenant + ",d=500\r\n";
   EXPECT_EQ(net.read(net.client(last)).substr(0, 4), "BUSY") << "nothing new to hosts that leave";
   net.node->stop();
-  for (const int client : clients) EXPECT_EQ(net.read(client, 6, 3000), "MOVE\r\n");
+  for (const int client : clients) {
+    EXPECT_EQ(net.read(client, 6, 3000), "MOVE\r\n");
+  }
   EXPECT_TRUE(net.until([&] { return net.node->done(); }, 5000));
 }
 
@@ -102,12 +112,14 @@
 
 TEST(Variants, TheNodeServesDrainsAndStopsWithEachDeploymentsSettings) {
   int played = 0;
-  for (const auto& folder : std::filesystem::directory_iterator(SITES))
-    for (const auto& file : std::filesystem::directory_iterator(folder))
+  for (const auto& folder : std::filesystem::directory_iterator(SITES)) {
+    for (const auto& file : std::filesystem::directory_iterator(folder)) {
       if (file.path().extension() == ".toml") {
         SCOPED_TRACE(file.path().filename().string());
         plays(toml::parse_file(file.path().string()));
         ++played;
       }
+    }
+  }
   EXPECT_GE(played, 2);
 }
