--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 TOOLS ?= build-tools
 NODE_NEEDS = cmake g++ make nlohmann-json3-dev libsimdjson-dev libspdlog-dev tao-pegtl-dev libcli11-dev
 TOOL_NEEDS = $(NODE_NEEDS) libtomlplusplus-dev libpcg-cpp-dev libxxhash-dev libboost-dev gnuplot-nox
-TEST_NEEDS = $(TOOL_NEEDS) libgtest-dev librapidcheck-dev procps clang clang-format libclang-rt-14-dev
+TEST_NEEDS = $(TOOL_NEEDS) libgtest-dev librapidcheck-dev procps clang clang-format clang-tidy libclang-rt-14-dev
 
 .PHONY: build tools demo test fuzz needs lint format run clean
 build:
@@ -18,8 +18,8 @@
 
 # Two nodes, eight hosts and three hundred clients on loopback; a host falls silent, one drains, a node restarts.
 demo: tools
-	@$(TOOLS)/dapplewharf_fleet live examples/scenarios/demo.toml --out out/demo
-	@echo "the page: $$($(TOOLS)/dapplewharf_fleet report out/demo)"
+	@$(TOOLS)/dapplewharf_emulator live examples/scenarios/demo.toml --out out/demo
+	@echo "the page: $$($(TOOLS)/dapplewharf_emulator report out/demo)"
 
 test: needs
 	tests/run.sh
@@ -32,7 +32,7 @@
 
 lint:
 	clang-format --dry-run --Werror $$(git ls-files 'src/*.cpp' 'src/*.h' 'tests/*.cpp' 'tests/*.h')
-	@lines=$$(grep -c . src/choice.cpp); [ $$lines -le 1070 ] || { echo "src/choice.cpp holds $$lines lines, 1,070 at most"; exit 1; }
+	@tools/check_file_length.sh
 	@! grep -nE '^.{111,}' $$(git ls-files 'src/*.cpp' 'src/*.h') || { echo "lines over 110 characters"; exit 1; }
 
 format:
--- a/src/base/loop.cpp
+++ b/src/base/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "base/loop.h"
+#include "base/event_loop.h"
 
 #include <spdlog/spdlog.h>
 
@@ -18,39 +18,39 @@
 
 }  // namespace
 
-Tenths Loop::unix_now() {
+Tenths EventLoop::unix_now() {
   return tenths<std::chrono::system_clock>();
 }
 
-Tenths Loop::steady_now() {
+Tenths EventLoop::steady_now() {
   return tenths<std::chrono::steady_clock>();
 }
 
-Loop::Loop() : start_(unix_now() - steady_now()) {
+EventLoop::EventLoop() : start_(unix_now() - steady_now()) {
   tick();
 }
 
-void Loop::tick() {
+void EventLoop::tick() {
   now_ = std::max(now_, of_steady(steady_now()));
 }
 
-Ticket Loop::watch(int descriptor, short events, Ready ready) {
+Handle EventLoop::watch(int descriptor, short events, Ready ready) {
   return watched_.add({descriptor, events, std::move(ready)});
 }
 
-void Loop::want(Ticket watched, short events) {
+void EventLoop::want(Handle watched, short events) {
   if (Watched* found = watched_.find(watched)) {
     found->events = events;
   }
 }
 
-void Loop::at(Deadline& deadline, Tenths when, Due due) {
+void EventLoop::at(Deadline& deadline, Tenths when, Due due) {
   cancel(deadline);
   deadline = {when, ++numbers_};
   deadlines_.emplace(deadline, std::move(due));
 }
 
-void Loop::cancel(Deadline& deadline) {
+void EventLoop::cancel(Deadline& deadline) {
   if (deadline.number != 0) {
     deadlines_.erase(deadline);
   }
@@ -58,7 +58,7 @@
 }
 
 // Danger: one connection's fault ends the process and all others with it.
-void Loop::run(const Due& what) const {
+void EventLoop::run(const Due& what) const {
   try {
     what();
   } catch (const std::exception& error) {
@@ -66,10 +66,10 @@
   }
 }
 
-void Loop::turn(Tenths longest) {
+void EventLoop::turn(Tenths longest) {
   std::vector<pollfd> polled;
-  std::vector<Ticket> tickets;
-  watched_.each([&](Ticket ticket, const Watched& watched) {
+  std::vector<Handle> tickets;
+  watched_.each([&](Handle ticket, const Watched& watched) {
     if (watched.events == 0) {
       return;  // danger: an end that is not to be read yet would wake poll for ever
     }
--- a/src/base/loop.h
+++ b/src/base/event_loop.h
@@ -7,12 +7,12 @@
 #include <functional>
 #include <map>
 
-#include "base/clock.h"
-#include "base/slots.h"
+#include "base/slot_map.h"
+#include "base/time.h"
 
 namespace dapplewharf {
 
-class Loop {
+class EventLoop {
  public:
   using Ready = std::function<void(short)>;  // is given what poll found
   using Due = std::function<void()>;
@@ -22,7 +22,7 @@
     auto operator<=>(const Deadline&) const = default;
   };
 
-  Loop();
+  EventLoop();
   // Steady, and counted from Unix time as it was when the loop was made.
   Tenths now() const { return now_; }
   static Tenths unix_now();
@@ -30,9 +30,9 @@
   static Tenths steady_now();
   Tenths of_steady(Tenths steady) const { return start_ + steady; }
 
-  Ticket watch(int descriptor, short events, Ready ready);
-  void want(Ticket watched, short events);  // 0: nothing, not even its end
-  void unwatch(Ticket watched) { watched_.drop(watched); }
+  Handle watch(int descriptor, short events, Ready ready);
+  void want(Handle watched, short events);  // 0: nothing, not even its end
+  void unwatch(Handle watched) { watched_.drop(watched); }
 
   void at(Deadline& deadline, Tenths when, Due due);  // in place of what stood there
   void cancel(Deadline& deadline);
@@ -53,7 +53,7 @@
 
   Tenths start_ = 0, now_ = 0, late_ = 0;
   std::uint64_t numbers_ = 0;
-  Slots<Watched> watched_;
+  SlotMap<Watched> watched_;
   std::map<Deadline, Due> deadlines_;
 };
 
--- a/src/chance.h
+++ b/src/base/random.h
@@ -6,9 +6,9 @@
 namespace dapplewharf {
 
 // PCG-XSH-RR: 64 bits of state, 32 of output.
-struct Chance {
+struct RandomGenerator {
   std::uint64_t state;
-  explicit Chance(std::uint64_t seed) : state(seed + 1442695040888963407ULL) { next(); }
+  explicit RandomGenerator(std::uint64_t seed) : state(seed + 1442695040888963407ULL) { next(); }
   std::uint32_t next() {
     const std::uint64_t old = state;
     state = old * 6364136223846793005ULL + 1442695040888963407ULL;
--- a/src/base/slots.h
+++ b/src/base/slot_map.h
@@ -10,16 +10,16 @@
 
 namespace dapplewharf {
 
-struct Ticket {
+struct Handle {
   std::uint32_t slot = 0, life = 0;  // no ticket has life 0
   explicit operator bool() const { return life != 0; }
-  bool operator==(const Ticket&) const = default;
+  bool operator==(const Handle&) const = default;
 };
 
 template <class Thing>
-class Slots {
+class SlotMap {
  public:
-  Ticket add(Thing thing) {
+  Handle add(Thing thing) {
     if (free_.empty()) {
       free_.push_back(static_cast<std::uint32_t>(slots_.size()));
       slots_.emplace_back();
@@ -32,13 +32,13 @@
     }
     return {at, slots_[at].life};
   }
-  Thing* find(Ticket ticket) {
+  Thing* find(Handle ticket) {
     if (ticket.slot >= slots_.size() || slots_[ticket.slot].life != ticket.life) {
       return nullptr;
     }
     return slots_[ticket.slot].thing.get();
   }
-  void drop(Ticket ticket) {
+  void drop(Handle ticket) {
     if (!find(ticket)) {
       return;
     }
@@ -49,7 +49,7 @@
   void each(Visit visit) {  // what is visited may be dropped on the way
     for (std::uint32_t at = 0; at < slots_.size(); ++at) {
       if (slots_[at].thing) {
-        visit(Ticket{at, slots_[at].life}, *slots_[at].thing);
+        visit(Handle{at, slots_[at].life}, *slots_[at].thing);
       }
     }
   }
--- a/src/base/socket.h
+++ b/src/base/socket.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <utility>
 
-#include "base/clock.h"
+#include "base/time.h"
 
 namespace dapplewharf {
 
--- a/src/base/clock.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-// The unit of all times and spans here. Knows no clock itself; Loop reads one.
+// The unit of all times and spans here. Knows no clock itself; EventLoop reads one.
 #pragma once
 #include <cstdint>
 
--- a/src/sidecar/document.cpp
+++ b/src/config/document.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/document.h"
+#include "config/document.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <set>
 #include <sstream>
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 namespace {
 
 namespace fs = std::filesystem;
@@ -794,4 +794,4 @@
   return out;
 }
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/sidecar/document.h
+++ b/src/config/document.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "sidecar/schema.h"
+#include "config/schema.h"
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 
 struct Setting {
   const Row* row = nullptr;
@@ -61,4 +61,4 @@
 std::vector<Clash> together(const std::vector<Document>& documents, double machine_descriptors,
                             double machine_memory);
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/sidecar/language.cpp
+++ b/src/config/language.cpp
@@ -1,11 +1,11 @@
-#include "sidecar/language.h"
+#include "config/language.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <tao/pegtl.hpp>
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 namespace {
 
 namespace pegtl = tao::pegtl;
@@ -642,4 +642,4 @@
   return out + "\"";
 }
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/sidecar/language.h
+++ b/src/config/language.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 
 constexpr std::size_t kLargestFile = 1 << 20;  // bytes
 constexpr int kDeepest = 16;                   // blocks within blocks
@@ -70,4 +70,4 @@
 std::string number_text(double number);
 std::string in_quotes(std::string_view text);
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -1,4 +1,4 @@
-#include "settings.h"
+#include "config/platform_settings.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
@@ -71,7 +71,7 @@
                            (word ? "a word" : "a number, true or false"));
 }
 
-void put(Settings& to, const std::string& name, const json& value, bool is_time) {
+void put(SettingsMap& to, const std::string& name, const json& value, bool is_time) {
   if (value.is_boolean()) {
     to[name] = value.get<bool>() ? 1.0 : 0.0;
   }
@@ -85,7 +85,7 @@
 }
 
 template <std::size_t N>
-void put_all(Settings& to, const std::string& prefix, const json& from, const Name (&names)[N]) {
+void put_all(SettingsMap& to, const std::string& prefix, const json& from, const Name (&names)[N]) {
   for (const Name& name : names) {
     const json::json_pointer at(name.wire);
     if (!from.contains(at)) {
@@ -96,7 +96,7 @@
   }
 }
 
-void put_list(Settings& to, const std::string& name, const json& list, bool is_time,
+void put_list(SettingsMap& to, const std::string& name, const json& list, bool is_time,
               const std::string& after = "") {
   for (std::size_t i = 0; i < list.size(); ++i) {
     put(to, name + std::to_string(i) + after, list[i], is_time);
@@ -109,8 +109,8 @@
   return static_cast<Tenths>(std::floor(ms * kPerMs + kEps));
 }
 
-Settings settings_of(const json& env) {
-  Settings to;
+SettingsMap settings_of(const json& env) {
+  SettingsMap to;
   put_all(to, "", env, kSettingNames);
   const json lanes = env.value("lanes", json::array());
   for (std::size_t i = 0; i < lanes.size(); ++i) {
--- a/src/settings.h
+++ b/src/config/platform_settings.h
@@ -3,13 +3,13 @@
 #pragma once
 #include <nlohmann/json_fwd.hpp>
 
-#include "words.h"
+#include "policy/words.h"
 
 namespace dapplewharf {
 
 constexpr double kPerMs = 10.0;  // tenths in a millisecond
 
 Tenths tenths_down(double ms);  // rounded down to a whole tenth, so that no expiry or grace grows
-Settings settings_of(const nlohmann::json& env);
+SettingsMap settings_of(const nlohmann::json& env);
 
 }  // namespace dapplewharf
--- a/src/sidecar/profiles.h
+++ b/src/config/profiles.h
@@ -4,8 +4,8 @@
 #include <map>
 #include <string>
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 
 const std::map<std::string, std::string>& profiles();  // names and texts
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/sidecar/render.cpp
+++ b/src/config/render.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/render.h"
+#include "config/render.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 using nlohmann::json;
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 namespace {
 
 constexpr double kMiB = 1048576;
@@ -317,4 +317,4 @@
   return out;
 }
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/sidecar/render.h
+++ b/src/config/render.h
@@ -3,9 +3,9 @@
 #pragma once
 #include <nlohmann/json.hpp>
 
-#include "sidecar/document.h"
+#include "config/document.h"
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 
 nlohmann::json render(const Document& document);  // of a good one
 
@@ -26,4 +26,4 @@
 };
 std::vector<Difference> differences(const Document& before, const Document& after);
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/sidecar/schema.cpp
+++ b/src/config/schema.cpp
@@ -1,10 +1,10 @@
-#include "sidecar/schema.h"
+#include "config/schema.h"
 
 #include <algorithm>
 #include <cmath>
 #include <sstream>
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 namespace {
 
 constexpr double kMinute = 60000, kHour = 3600000;
@@ -270,4 +270,4 @@
   }
 }
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/sidecar/schema.h
+++ b/src/config/schema.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "sidecar/language.h"
+#include "config/language.h"
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 
 struct Row {
   const char* block;
@@ -44,4 +44,4 @@
     const std::string& name);  // a setting's or a block's row in words; empty if there is none such
 std::string canonical(const Value& value);  // the same for all ways to write one value
 
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/src/sidecar/tool.cpp
+++ b/src/config/tool.cpp
@@ -11,11 +11,11 @@
 #include <set>
 #include <sstream>
 
-#include "sidecar/profiles.h"
-#include "sidecar/render.h"
+#include "config/profiles.h"
+#include "config/render.h"
 
 using nlohmann::json;
-using namespace dapplewharf::sidecar;
+using namespace dapplewharf::config;
 namespace fs = std::filesystem;
 
 namespace {
--- a/src/fleet/audit/audit.cpp
+++ b/src/emulator/audit/audit.cpp
@@ -1,8 +1,8 @@
-#include "fleet/audit/audit.h"
+#include "emulator/audit/audit.h"
 
 #include <algorithm>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr std::size_t kFirst = 5;                // cases kept of each rule
@@ -37,14 +37,14 @@
 
 void Audit::asked(const std::string& id, int node, int traffic, Tenths when, bool resumed) {
   ++totals_.asked;
-  Attachment& held = held_[id];
+  Request& held = held_[id];
   held.node = node, held.traffic = traffic, held.asked = when, held.resumed = resumed;
   // What is written as its process dies is read by nobody.
   const auto killed = killed_.find(node);
   held.owed = killed == killed_.end() || when < killed->second || when > killed->second + kDies;
 }
 
-Tenths Audit::expiry(const Attachment& held) const {
+Tenths Audit::expiry(const Request& held) const {
   if (held.resumed) {
     return held.asked + kResumedWithin + slack_;
   }
@@ -58,7 +58,7 @@
   if (at == held_.end()) {
     return breach(Rule::final_answer, id, when, "an answer that nobody asked for");
   }
-  Attachment& held = at->second;
+  Request& held = at->second;
   if (++held.answers > 1) {
     return breach(Rule::final_answer, id, when, "a second answer");
   }
@@ -77,7 +77,7 @@
   // A rejection says that a repeat is harmless.
   if (answer == Answered::rejected && type.effect != "idempotent" &&
       !(type.effect == "deduplicated" && type.repeat_group == "all")) {
-    for (const Try& one : held.tries) {
+    for (const Attempt& one : held.tries) {
       if (one.may_have_run) {
         breach(Rule::effect_twice, id, when,
                "rejected though a try may have run at " + plan_.hosts[static_cast<std::size_t>(one.host)].id);
@@ -88,12 +88,12 @@
 }
 
 // Only its host's leaving, its node's end, or a try that may have run and must not be repeated may end one.
-bool Audit::may_end_resumed(const Attachment& held, Tenths when) const {
+bool Audit::may_end_resumed(const Request& held, Tenths when) const {
   if (const auto stops = stopping_.find(held.node); stops != stopping_.end() && stops->second) {
     return true;
   }
   const Traffic& type = scenario_.traffic[static_cast<std::size_t>(held.traffic)];
-  for (const Try& one : held.tries) {
+  for (const Attempt& one : held.tries) {
     if (leaving_.count({held.node, one.host})) {
       return true;
     }
@@ -117,13 +117,13 @@
 }
 
 // Called once a client has given up: it has waited beyond its expiry and got nothing.
-void Audit::overdue(const std::string& id, Attachment& held, Tenths when) {
+void Audit::overdue(const std::string& id, Request& held, Tenths when) {
   held.owed = false;
   ++totals_.unanswered;
   breach(Rule::final_answer, id, when, "no answer before its expiry");
 }
 
-bool Audit::drops_repeats(const Traffic& type, const Try& first, int host, Tenths when) const {
+bool Audit::drops_repeats(const Traffic& type, const Attempt& first, int host, Tenths when) const {
   if (type.effect == "idempotent") {
     return true;
   }
@@ -152,13 +152,13 @@
   if (at == held_.end()) {
     return breach(Rule::final_answer, id, when, "a try that no client asked for, at " + name);
   }
-  Attachment& held = at->second;
+  Request& held = at->second;
   // What has been answered is not tried again.
   if (held.answers > 0) {
     breach(Rule::final_answer, id, when, "a try after the final answer, at " + name);
   }
   const Traffic& type = scenario_.traffic[static_cast<std::size_t>(held.traffic)];
-  for (const Try& one : held.tries) {
+  for (const Attempt& one : held.tries) {
     const std::string& other = plan_.hosts[static_cast<std::size_t>(one.host)].id;
     if (one.out) {
       breach(Rule::effect_twice, id, when, "two tries out, at " + other + " and " + name);
@@ -174,7 +174,7 @@
   if (at == held_.end()) {
     return;
   }
-  for (Try& one : at->second.tries) {
+  for (Attempt& one : at->second.tries) {
     if (one.host == host && one.out) {
       one.may_have_run = true;
     }
@@ -186,7 +186,7 @@
   if (at == held_.end()) {
     return;
   }
-  for (Try& one : at->second.tries) {
+  for (Attempt& one : at->second.tries) {
     if (one.host == host && one.out) {
       one.out = false, one.may_have_run = may_have_run;
     }
@@ -269,4 +269,4 @@
   }
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/audit/audit.h
+++ b/src/emulator/audit/audit.h
@@ -7,10 +7,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/clock.h"
-#include "fleet/model/plan.h"
+#include "base/time.h"
+#include "emulator/model/plan.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 enum class Rule { final_answer, effect_twice, drain_kept, cold_pushed, bytes_changed, cut_off };
 inline constexpr int kRules = 6;
@@ -61,28 +61,28 @@
   int tries() const { return tries_; }
 
  private:
-  struct Try {
+  struct Attempt {
     int host = 0;
     Tenths since = 0;
     bool out = true, may_have_run = true;
   };
-  struct Attachment {
+  struct Request {
     int node = 0, traffic = 0;
     Tenths asked = 0;
     int answers = 0;
     bool owed = true, standing = false, resumed = false;
-    std::vector<Try> tries;
+    std::vector<Attempt> tries;
   };
   void breach(Rule rule, const std::string& id, Tenths when, std::string what);
-  bool drops_repeats(const Traffic& type, const Try& first, int host, Tenths when) const;
-  bool may_end_resumed(const Attachment& held, Tenths when) const;
-  void overdue(const std::string& id, Attachment& held, Tenths when);
-  Tenths expiry(const Attachment& held) const;
+  bool drops_repeats(const Traffic& type, const Attempt& first, int host, Tenths when) const;
+  bool may_end_resumed(const Request& held, Tenths when) const;
+  void overdue(const std::string& id, Request& held, Tenths when);
+  Tenths expiry(const Request& held) const;
 
   const Scenario& scenario_;
   const Plan& plan_;
   Tenths slack_;
-  std::unordered_map<std::string, Attachment> held_;
+  std::unordered_map<std::string, Request> held_;
   std::map<std::pair<int, int>, Tenths> leaving_;  // node and host: since when the node knows
   std::map<int, Tenths> killed_;                   // nodes, and when; until a new process begins
   std::map<int, bool> stopping_;                   // nodes
@@ -93,4 +93,4 @@
   int moved_ = 0, tries_ = 0;
 };
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/env.cpp
+++ b/src/emulator/env.cpp
@@ -1,10 +1,10 @@
-#include "fleet/env.h"
+#include "emulator/env.h"
 
 #include <cmath>
 
 using nlohmann::json;
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr double kQuota = 0.85;  // of what the hosts can do that tenants' shares grant in all
@@ -77,4 +77,4 @@
           {"zones", scenario.zones}};
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/env.h
+++ b/src/emulator/env.h
@@ -2,10 +2,10 @@
 #pragma once
 #include <nlohmann/json.hpp>
 
-#include "fleet/model/plan.h"
+#include "emulator/model/plan.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 nlohmann::json env_of(const Scenario& scenario, const Plan& plan, int node);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/clients.cpp
+++ b/src/emulator/live/clients.cpp
@@ -10,10 +10,10 @@
 #include <deque>
 #include <stdexcept>
 
-#include "fleet/live/parts.h"
-#include "fleet/model/chance.h"
+#include "emulator/live/parts.h"
+#include "emulator/model/chance.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr Tenths kPingEvery = 300 * kMs;   // to a node that is not dealt to
@@ -33,12 +33,12 @@
  private:
   struct Client {
     Socket socket;
-    Ticket watched;
+    Handle watched;
     bool begun = false, done = false, waiting = false, standing = false, written = false, closing = false;
     int attempt = 0, failures = 0, node = -1;
     std::string id, in, out;
     Tenths begun_at = 0, wish_until = 0, sent = 0;
-    Loop::Deadline comes, expires, leaves, speaks;
+    EventLoop::Deadline comes, expires, leaves, speaks;
     std::deque<std::pair<std::string, Tenths>> lines;  // sent and not yet back
     Tenths line_at = 0;                                // when the last one went
     bool line_good = false, quiet = false;
@@ -47,10 +47,10 @@
   };
   struct Node {
     Socket ping;
-    Ticket watched;
+    Handle watched;
     bool dealt = false, stops = false, noticed = false;
     std::string in;
-    Loop::Deadline next;
+    EventLoop::Deadline next;
   };
 
   void prepare() override {
@@ -550,4 +550,4 @@
   return Clients(scenario, plan, street, std::move(tie)).run(for_s);
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/gather.cpp
+++ b/src/emulator/live/gather.cpp
@@ -1,11 +1,11 @@
-#include "fleet/live/gather.h"
+#include "emulator/live/gather.h"
 
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <set>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr Tenths kLateVoid =
@@ -303,4 +303,4 @@
   return result;
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/gather.h
+++ b/src/emulator/live/gather.h
@@ -1,9 +1,9 @@
 // From records to a result: replays what the rig saw into the auditor and works out the figures. Pure.
 #pragma once
-#include "fleet/live/record.h"
-#include "fleet/report/result.h"
+#include "emulator/live/record.h"
+#include "emulator/report/result.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 struct Sample {  // of one node's process
   Tenths when = 0;
@@ -21,4 +21,4 @@
 // Cost of each kind of work by least squares over samples: what x (per row) takes of y. Never below 0.
 std::vector<double> costs_of(const std::vector<std::vector<double>>& x, const std::vector<double>& y);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/hosts.cpp
+++ b/src/emulator/live/hosts.cpp
@@ -13,11 +13,11 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "fleet/live/parts.h"
-#include "fleet/model/chance.h"
-#include "fleet/model/host.h"
+#include "emulator/live/parts.h"
+#include "emulator/model/chance.h"
+#include "emulator/model/host.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 namespace {
 
@@ -37,7 +37,7 @@
  private:
   struct Conn {
     Socket socket;
-    Ticket watched;
+    Handle watched;
     int host = 0, node = 0, life = 0;
     enum class Phase { fresh, opening, up, over } phase = Phase::fresh;
     std::string in, out, id;
@@ -45,11 +45,11 @@
     double load = 0;
     HostModel::Work work = 0;
     bool ran = false, ended = false, closes = false, told_over = false;
-    Loop::Deadline change;
+    EventLoop::Deadline change;
   };
   struct Door {  // of one host for one node
     Socket listener;
-    Ticket watched;
+    Handle watched;
     std::vector<Socket> fillers;
   };
   struct Host {
@@ -62,19 +62,19 @@
     int hangs = 0, life = 0, connections = 0;
     std::string pace, told = "up";
     double started_unix_ms = 0;
-    std::map<HostModel::Work, Ticket> works;  // whose
-    std::vector<Ticket> standing;
-    Loop::Deadline turn;
+    std::map<HostModel::Work, Handle> works;  // whose
+    std::vector<Handle> standing;
+    EventLoop::Deadline turn;
     std::vector<Door> doors;  // by node
   };
   struct Caller {  // of the list
     Socket socket;
-    Ticket watched;
+    Handle watched;
     int node = 0;
     std::string in;
     long after = -1;
     bool waits = false;
-    Loop::Deadline deadline;
+    EventLoop::Deadline deadline;
   };
 
   void prepare() override {
@@ -194,7 +194,7 @@
         blocked(h, n) ? block(h, n) : unblock(h, n);
       }
     }
-    conns_.each([this](Ticket ticket, Conn& conn) { look_at(ticket, conn); });
+    conns_.each([this](Handle ticket, Conn& conn) { look_at(ticket, conn); });
   }
   // Whether a connection is read and written just now.
   bool reads(const Conn& conn) const {
@@ -202,7 +202,7 @@
     return host.is == HostIs::up && !cut(cuts_, conn.host, conn.node);
   }
   bool writes(const Conn& conn) const { return reads(conn) && !cut(one_ways_, conn.host, conn.node); }
-  void look_at(Ticket ticket, Conn& conn) {
+  void look_at(Handle ticket, Conn& conn) {
     loop_.want(conn.watched, static_cast<short>((reads(conn) ? POLLIN : 0) |
                                                 (writes(conn) && !conn.out.empty() ? POLLOUT : 0)));
     if (writes(conn) && !conn.out.empty()) {
@@ -229,7 +229,7 @@
       Conn made;
       made.socket = std::move(taken);
       made.host = h, made.node = n, made.life = host.life;
-      const Ticket ticket = conns_.add(std::move(made));
+      const Handle ticket = conns_.add(std::move(made));
       ++host.connections;
       conns_.find(ticket)->watched = loop_.watch(descriptor, POLLIN, [this, ticket](short what) {
         if (what & POLLOUT) {
@@ -245,7 +245,7 @@
 
   // --- connections ---
 
-  void ready(Ticket ticket) {
+  void ready(Handle ticket) {
     Conn* conn = conns_.find(ticket);
     if (!conn || !reads(*conn)) {
       return;
@@ -271,7 +271,7 @@
     }
   }
 
-  void heard(Ticket ticket, Conn& conn, const std::string& line) {
+  void heard(Handle ticket, Conn& conn, const std::string& line) {
     Host& host = *hosts_[static_cast<std::size_t>(conn.host)];
     host.model.advance(now());
     if (conn.phase == Conn::Phase::up) {
@@ -321,7 +321,7 @@
   }
 
   // Does something after a while unless the connection has gone or its host is another one.
-  void later(Ticket ticket, Tenths after, std::function<void()> what) {
+  void later(Handle ticket, Tenths after, std::function<void()> what) {
     const Conn* conn = conns_.find(ticket);
     const int life = conn->life;
     const int h = conn->host;
@@ -351,7 +351,7 @@
     return plan_.sessions[static_cast<std::size_t>(conn.session)];
   }
 
-  void set_up(Ticket ticket) {
+  void set_up(Handle ticket) {
     Conn& conn = *conns_.find(ticket);
     Host& host = *hosts_[static_cast<std::size_t>(conn.host)];
     host.model.advance(now());
@@ -390,7 +390,7 @@
     wake(conn.host);
   }
 
-  void probed(Ticket ticket, Conn& conn) {
+  void probed(Handle ticket, Conn& conn) {
     Host& host = *hosts_[static_cast<std::size_t>(conn.host)];
     records_.add(stamp(), Seen::probe, "", conn.host);
     if (chance_of(std::to_string(++probes_), 7) < host.failing) {
@@ -418,7 +418,7 @@
       if (found == host.works.end()) {
         continue;
       }
-      const Ticket ticket = found->second;
+      const Handle ticket = found->second;
       host.works.erase(found);
       Conn* conn = conns_.find(ticket);
       if (!conn) {
@@ -435,7 +435,7 @@
     wake(h);
   }
 
-  void stands(Ticket ticket, Conn& conn) {
+  void stands(Handle ticket, Conn& conn) {
     Host& host = *hosts_[static_cast<std::size_t>(conn.host)];
     conn.work = 0;
     conn.phase = Conn::Phase::up;
@@ -450,7 +450,7 @@
   double load_of(const Conn& conn) const {
     return load_at(scenario_, session(conn), static_cast<double>(now()) / kSecond - session(conn).arrive_s);
   }
-  void changes(Ticket ticket) {
+  void changes(Handle ticket) {
     Conn* conn = conns_.find(ticket);
     if (!conn || conn->phase != Conn::Phase::up) {
       return;
@@ -467,7 +467,7 @@
     records_.add(stamp(), Seen::try_over, conn.id, conn.host, may_have_run);
   }
 
-  void say(Ticket ticket, const std::string& line) {
+  void say(Handle ticket, const std::string& line) {
     Conn* conn = conns_.find(ticket);
     if (!conn || conn->out.size() > kMost) {
       return;
@@ -475,7 +475,7 @@
     conn->out += line;
     flush(ticket);
   }
-  void finish(Ticket ticket, const std::string& line) {
+  void finish(Handle ticket, const std::string& line) {
     Conn* conn = conns_.find(ticket);
     if (!conn) {
       return;
@@ -484,7 +484,7 @@
     conn->closes = true;
     say(ticket, line);
   }
-  void flush(Ticket ticket) {
+  void flush(Handle ticket) {
     Conn* conn = conns_.find(ticket);
     if (!conn || !writes(*conn)) {
       return;
@@ -503,7 +503,7 @@
   }
 
   // The node has ended it, or it is reset by this host.
-  void gone(Ticket ticket) {
+  void gone(Handle ticket) {
     Conn* conn = conns_.find(ticket);
     if (!conn) {
       return;
@@ -531,13 +531,13 @@
     conns_.drop(ticket);
   }
   void reset_all(int h) {
-    std::vector<Ticket> here;
-    conns_.each([&](Ticket ticket, const Conn& conn) {
+    std::vector<Handle> here;
+    conns_.each([&](Handle ticket, const Conn& conn) {
       if (conn.host == h) {
         here.push_back(ticket);
       }
     });
-    for (const Ticket ticket : here) {
+    for (const Handle ticket : here) {
       Conn& conn = *conns_.find(ticket);
       if (!conn.id.empty()) {
         records_.add(stamp(), Seen::host_ended, conn.id, h);
@@ -633,13 +633,13 @@
         blocked(h, n) ? block(h, n) : unblock(h, n);
       }
     }
-    std::vector<Ticket> here;
-    conns_.each([&](Ticket ticket, const Conn& conn) {
+    std::vector<Handle> here;
+    conns_.each([&](Handle ticket, const Conn& conn) {
       if (conn.host == h) {
         here.push_back(ticket);
       }
     });
-    for (const Ticket ticket : here) {
+    for (const Handle ticket : here) {
       if (Conn* conn = conns_.find(ticket)) {
         look_at(ticket, *conn);
       }
@@ -691,7 +691,7 @@
     host.connections = 0, host.draining = false;
     host.works.clear(), host.standing.clear();
     host.model.start(now(), true);
-    host.started_unix_ms = static_cast<double>(Loop::unix_now()) / kMs;
+    host.started_unix_ms = static_cast<double>(EventLoop::unix_now()) / kMs;
     host.is = HostIs::up;
     open_doors(h);
     records_.add(stamp(), Seen::host_is, "", h, 1);
@@ -721,9 +721,9 @@
     const bool all = host.pace == "at_once";
     const auto part = static_cast<std::size_t>(
         std::ceil(static_cast<double>(host.standing.size()) * (all ? 1 : kPacedShare)));
-    const std::vector<Ticket> those(host.standing.begin(),
+    const std::vector<Handle> those(host.standing.begin(),
                                     host.standing.begin() + static_cast<std::ptrdiff_t>(part));
-    for (const Ticket ticket : those) {
+    for (const Handle ticket : those) {
       Conn& conn = *conns_.find(ticket);
       host.model.advance(now());
       host.model.leave(conn.load, session(conn).group);
@@ -747,13 +747,13 @@
       host.listed = state != "removed";
       ++version_;
       changes_.emplace_back(version_, h);
-      std::vector<Ticket> waiting;
-      callers_.each([&](Ticket ticket, const Caller& caller) {
+      std::vector<Handle> waiting;
+      callers_.each([&](Handle ticket, const Caller& caller) {
         if (caller.waits) {
           waiting.push_back(ticket);
         }
       });
-      for (const Ticket ticket : waiting) {
+      for (const Handle ticket : waiting) {
         answer(ticket);
       }
     });
@@ -773,7 +773,7 @@
         Caller made;
         made.socket = std::move(taken);
         made.node = static_cast<int>(n);
-        const Ticket ticket = callers_.add(std::move(made));
+        const Handle ticket = callers_.add(std::move(made));
         callers_.find(ticket)->watched =
             loop_.watch(descriptor, POLLIN, [this, ticket](short) { called(ticket); });
       });
@@ -785,13 +785,13 @@
       door.watched = {};
       door.listener.close();
     }
-    std::vector<Ticket> all;
-    callers_.each([&](Ticket ticket, const Caller&) { all.push_back(ticket); });
-    for (const Ticket ticket : all) {
+    std::vector<Handle> all;
+    callers_.each([&](Handle ticket, const Caller&) { all.push_back(ticket); });
+    for (const Handle ticket : all) {
       hang_up(ticket);
     }
   }
-  void hang_up(Ticket ticket) {
+  void hang_up(Handle ticket) {
     Caller* caller = callers_.find(ticket);
     if (!caller) {
       return;
@@ -801,7 +801,7 @@
     callers_.drop(ticket);
   }
 
-  void called(Ticket ticket) {
+  void called(Handle ticket) {
     Caller* caller = callers_.find(ticket);
     if (!caller) {
       return;
@@ -844,7 +844,7 @@
             {"startedAtMs", host.started_unix_ms}};
   }
 
-  void answer(Ticket ticket) {
+  void answer(Handle ticket) {
     Caller* caller = callers_.find(ticket);
     if (!caller) {
       return;
@@ -884,10 +884,10 @@
 
   std::vector<std::unique_ptr<Host>> hosts_;
   std::vector<Door> lists_;
-  Slots<Conn> conns_;
-  Slots<Caller> callers_;
+  SlotMap<Conn> conns_;
+  SlotMap<Caller> callers_;
   std::map<std::string, long> sessions_;
-  std::map<std::string, Ticket> tries_;  // the last one of each attachment
+  std::map<std::string, Handle> tries_;  // the last one of each attachment
   std::vector<int> cuts_, one_ways_;
   std::vector<std::pair<long, int>> changes_;
   long version_ = 1;
@@ -905,7 +905,7 @@
   street.net = net, street.anybody = true;
   int ready[2];
   int go[2];
-  const Tenths now = Loop::steady_now();
+  const Tenths now = EventLoop::steady_now();
   if (pipe(ready) != 0 || pipe(go) != 0 || write(go[1], &now, sizeof now) != sizeof now) {
     return 1;
   }
@@ -916,4 +916,4 @@
   return Hosts(scenario, plan, street, std::move(tie)).run(for_s + kOutlasts);
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/live.cpp
+++ b/src/emulator/live/live.cpp
@@ -1,4 +1,4 @@
-#include "fleet/live/live.h"
+#include "emulator/live/live.h"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -15,11 +15,11 @@
 #include <fstream>
 #include <iostream>
 
-#include "fleet/env.h"
-#include "fleet/live/gather.h"
-#include "fleet/live/parts.h"
+#include "emulator/env.h"
+#include "emulator/live/gather.h"
+#include "emulator/live/parts.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr Tenths kReadyWithin = 40 * kSecond;
@@ -329,8 +329,8 @@
     away_[static_cast<std::size_t>(n)] = false;
   }
 
-  void once(double at_s, Loop::Due due) {
-    Loop::Deadline one;
+  void once(double at_s, EventLoop::Due due) {
+    EventLoop::Deadline one;
     loop_.at(one, begun_ + static_cast<Tenths>(at_s * kSecond), std::move(due));
   }
   Tenths now() const { return loop_.now() - begun_; }
@@ -442,9 +442,9 @@
   Street street_;
   Socket held_;
   std::string folder_;
-  Loop loop_;
+  EventLoop loop_;
   Tenths begun_ = INT64_MAX / 2, late_ = 0;
-  Loop::Deadline sampled_;
+  EventLoop::Deadline sampled_;
   std::vector<Process> nodes_, parts_;
   std::vector<bool> away_;
   std::vector<std::unique_ptr<Pipe>> readies_, goes_;
@@ -458,4 +458,4 @@
   return Live(scenario, options).play();
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/live.h
+++ b/src/emulator/live/live.h
@@ -4,9 +4,9 @@
 #include <functional>
 #include <stdexcept>
 
-#include "fleet/report/result.h"
+#include "emulator/report/result.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 struct LiveOptions {
   std::uint64_t seed = 1;
@@ -25,4 +25,4 @@
 
 Result play_live(const Scenario& scenario, const LiveOptions& options);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/part.cpp
+++ b/src/emulator/live/part.cpp
@@ -6,9 +6,9 @@
 #include <csignal>
 #include <iostream>
 
-#include "fleet/live/parts.h"
+#include "emulator/live/parts.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr Tenths kBeat = 20 * kMs;  // lateness is seen at least so often
@@ -38,8 +38,8 @@
 Part::Part(const Scenario& scenario, const Plan& plan, const Street& street, Tie tie)
     : scenario_(scenario), plan_(plan), street_(street), tie_(std::move(tie)) {}
 
-void Part::once(Tenths when, Loop::Due due) {
-  Loop::Deadline one;
+void Part::once(Tenths when, EventLoop::Due due) {
+  EventLoop::Deadline one;
   at(one, when, std::move(due));
 }
 
@@ -86,9 +86,9 @@
     records_.write(tie_.file);
     return 0;
   } catch (const std::exception& error) {
-    std::cerr << "dapplewharf_fleet: " << error.what() << "\n";
+    std::cerr << "dapplewharf_emulator: " << error.what() << "\n";
     return 1;
   }
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/parts.h
+++ b/src/emulator/live/parts.h
@@ -5,12 +5,12 @@
 #include <functional>
 #include <string>
 
-#include "base/loop.h"
+#include "base/event_loop.h"
 #include "base/socket.h"
-#include "fleet/live/record.h"
-#include "fleet/model/plan.h"
+#include "emulator/live/record.h"
+#include "emulator/model/plan.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 // Where everybody listens. `net` tells runs side by side apart: 127.net.0.0/16.
 struct Street {
@@ -43,12 +43,12 @@
   Tenths now() const { return loop_.now() - begun_; }  // of the run, as this turn has it
   // Of the run, this very moment. Danger: what a turn reads late on is newer than the turn, and would seem to
   // come before what another process saw first.
-  Tenths stamp() const { return loop_.of_steady(Loop::steady_now()) - begun_; }
+  Tenths stamp() const { return loop_.of_steady(EventLoop::steady_now()) - begun_; }
   // At a time of the run.
-  void at(Loop::Deadline& deadline, Tenths when, Loop::Due due) {
+  void at(EventLoop::Deadline& deadline, Tenths when, EventLoop::Due due) {
     loop_.at(deadline, begun_ + when, std::move(due));
   }
-  void once(Tenths when, Loop::Due due);
+  void once(Tenths when, EventLoop::Due due);
   void starves();  // says once that no descriptor was left
   static Tenths from_s(double s) { return static_cast<Tenths>(s * kSecond); }
   static Tenths from_ms(double ms) { return static_cast<Tenths>(ms * kMs); }
@@ -56,14 +56,14 @@
   const Scenario& scenario_;
   const Plan& plan_;
   const Street& street_;
-  Loop loop_;
+  EventLoop loop_;
   Records records_;
 
  private:
   void beat();
   Tie tie_;
   Tenths begun_ = INT64_MAX / 2;
-  Loop::Deadline beat_;
+  EventLoop::Deadline beat_;
   Tenths late_ = 0;
   bool starved_ = false;
 };
@@ -75,4 +75,4 @@
                     const std::string& file);
 int run_clients(const Scenario& scenario, const Plan& plan, const Street& street, Tie tie, double for_s);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/record.cpp
+++ b/src/emulator/live/record.cpp
@@ -1,12 +1,12 @@
-#include "fleet/live/record.h"
+#include "emulator/live/record.h"
 
 #include <spdlog/fmt/fmt.h>
 
 #include <fstream>
 
-#include "fleet/report/result.h"
+#include "emulator/report/result.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 void Records::add(Tenths when, Seen kind, const std::string& id, long a, long b, long c) {
   fmt::format_to(std::back_inserter(text_), "{} {} {} {} {} {}\n", when, static_cast<char>(kind),
@@ -34,4 +34,4 @@
   return out;
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/live/record.h
+++ b/src/emulator/live/record.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "base/clock.h"
+#include "base/time.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 enum class Seen : char {
   asked = 'a',       // id, node, traffic type, 1: it stood before the run
@@ -53,4 +53,4 @@
   std::string text_;
 };
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/main.cpp
+++ b/src/emulator/main.cpp
@@ -1,20 +1,20 @@
-// dapplewharf_fleet: the commands of the fleet. Owns arguments and exit codes (0 good, 1 the work failed, 2
-// unusable input, 3 a rule was broken); everything else lies in the parts it calls.
+// dapplewharf_emulator: the commands of the fleet. Owns arguments and exit codes (0 good, 1 the work failed,
+// 2 unusable input, 3 a rule was broken); everything else lies in the parts it calls.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
 #include <ctime>
 #include <iostream>
 
-#include "fleet/live/live.h"
-#include "fleet/live/parts.h"
-#include "fleet/report/page.h"
-#include "fleet/sim/policy.h"
-#include "fleet/sim/sim.h"
-#include "fleet/soak.h"
-#include "fleet/sweep.h"
+#include "emulator/live/live.h"
+#include "emulator/live/parts.h"
+#include "emulator/report/page.h"
+#include "emulator/sim/policy.h"
+#include "emulator/sim/sim.h"
+#include "emulator/soak.h"
+#include "emulator/sweep.h"
 
-using namespace dapplewharf::fleet;
+using namespace dapplewharf::emulator;
 
 namespace {
 
@@ -89,7 +89,7 @@
   bool json = false;
   auto* check = app.add_subcommand("check", "Reads a scenario and says what is wrong with it.");
   check->add_option("SCENARIO", file, "a TOML file, see docs/scenario.md")->required();
-  check->footer("Example: dapplewharf_fleet check examples/scenarios/calm.toml");
+  check->footer("Example: dapplewharf_emulator check examples/scenarios/calm.toml");
   auto* simulated = app.add_subcommand("sim", "Plays a scenario in virtual time.");
   simulated->add_option("SCENARIO", file)->required();
   simulated->add_option("--seed", seed, "what chance is drawn from");
@@ -98,7 +98,7 @@
   simulated->add_option("--policy", policy, "who decides");
   simulated->add_flag("--json", json, "the report to standard output");
   simulated->footer(
-      "Example: dapplewharf_fleet sim examples/scenarios/silent.toml --seed 3 --out out/silent");
+      "Example: dapplewharf_emulator sim examples/scenarios/silent.toml --seed 3 --out out/silent");
   LiveOptions options;
   options.node = node_beside();
   auto* lived = app.add_subcommand("live", "Plays a scenario on loopback sockets, around the real node.");
@@ -108,7 +108,8 @@
   lived->add_option("--out", options.out, "folder for report.json, the nodes' logs and configurations");
   lived->add_option("--node", options.node, "the program of a node");
   lived->add_flag("--json", json, "the report to standard output");
-  lived->footer("Example: dapplewharf_fleet live examples/scenarios/silent.toml --seed 3 --out out/silent");
+  lived->footer(
+      "Example: dapplewharf_emulator live examples/scenarios/silent.toml --seed 3 --out out/silent");
   int net = 245;
   double for_s = 60;
   std::string records;
@@ -120,7 +121,7 @@
   alone->add_option("--for", for_s, "seconds")->check(CLI::Range(0.1, 86400.0));
   alone->add_option("--records", records, "file for what they have seen")->required();
   alone->footer(
-      "Example: dapplewharf_fleet hosts examples/scenarios/small.toml --net 245 --for 30 --records seen");
+      "Example: dapplewharf_emulator hosts examples/scenarios/small.toml --net 245 --for 30 --records seen");
   Sweep grid;
   std::vector<std::string> vary;
   std::string seeds = "1..10";
@@ -135,7 +136,7 @@
   swept->add_option("--jobs", grid.jobs, "runs at a time; as many as there are cores");
   swept->add_flag("--json", grid.json, "the table as JSON");
   swept->footer(
-      "Example: dapplewharf_fleet sweep examples/scenarios/small.toml --vary clients.standing=150,250 "
+      "Example: dapplewharf_emulator sweep examples/scenarios/small.toml --vary clients.standing=150,250 "
       "--seeds 1..10 "
       "--policy dapplewharf,random --out out/sweep");
   Soak soak;
@@ -147,21 +148,21 @@
   soaked->add_option("--out", soak.out, "folder for what is kept of seeds that failed");
   soaked->add_option("--jobs", soak.jobs, "seeds at a time")->check(CLI::Range(1, 16));
   soaked->footer(
-      "Example: dapplewharf_fleet soak --seeds 1..50 --node build-tests/dapplewharf_faulty --jobs 3");
+      "Example: dapplewharf_emulator soak --seeds 1..50 --node build-tests/dapplewharf_faulty --jobs 3");
   std::string folder;
   std::string html;
   auto* paged =
       app.add_subcommand("report", "Makes one HTML page of a folder that sim, live or sweep wrote.");
   paged->add_option("DIR", folder)->required();
   paged->add_option("--html", html, "the page; DIR/report.html otherwise");
-  paged->footer("Example: dapplewharf_fleet report out/silent --html silent.html");
+  paged->footer("Example: dapplewharf_emulator report out/silent --html silent.html");
   auto* reference_page = app.add_subcommand("schema", "Prints the reference of scenarios as Markdown.");
   try {
     app.parse(count, words);
   } catch (const CLI::CallForHelp& help) {
     return app.exit(help);
   } catch (const CLI::ParseError& error) {
-    std::cerr << "dapplewharf_fleet:0:0: " << error.what() << "; expected arguments as --help shows\n";
+    std::cerr << "dapplewharf_emulator:0:0: " << error.what() << "; expected arguments as --help shows\n";
     return 2;
   }
   try {
@@ -209,7 +210,7 @@
     std::cerr << error.what() << "\n";
     return 2;
   } catch (const std::exception& error) {
-    std::cerr << "dapplewharf_fleet: " << error.what() << "\n";
+    std::cerr << "dapplewharf_emulator: " << error.what() << "\n";
     return 1;
   }
   return 0;
--- a/src/fleet/model/chance.h
+++ b/src/emulator/model/chance.h
@@ -8,7 +8,7 @@
 #include <pcg_random.hpp>
 #include <string_view>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 class Stream {
  public:
@@ -40,4 +40,4 @@
   return static_cast<double>(XXH64(id.data(), id.size(), which) >> 11) * 0x1.0p-53;
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/model/host.cpp
+++ b/src/emulator/model/host.cpp
@@ -1,9 +1,9 @@
-#include "fleet/model/host.h"
+#include "emulator/model/host.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr Tenths kStep = 20 * kMs;  // while a host warms up its speed is held for so long
@@ -159,4 +159,4 @@
   return 1000 * piled_s() - own_ms() * std::log(1 - share);
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/model/host.h
+++ b/src/emulator/model/host.h
@@ -6,10 +6,10 @@
 #include <map>
 #include <vector>
 
-#include "base/clock.h"
-#include "fleet/model/plan.h"
+#include "base/time.h"
+#include "emulator/model/plan.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 class HostModel {
  public:
@@ -65,4 +65,4 @@
   std::deque<Tenths> pushes_;
 };
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/model/plan.cpp
+++ b/src/emulator/model/plan.cpp
@@ -1,4 +1,4 @@
-#include "fleet/model/plan.h"
+#include "emulator/model/plan.h"
 
 #include <spdlog/fmt/fmt.h>
 #include <xxhash.h>
@@ -8,9 +8,9 @@
 #include <cstdio>
 #include <cstring>
 
-#include "fleet/model/chance.h"
+#include "emulator/model/chance.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr double kLongWait = 5000;  // ms, of a client whose tries are used up
@@ -50,8 +50,8 @@
   std::string bytes;
   void add(const std::string& text) { bytes += text, bytes += '\n'; }
   void add(double value) { bytes.append(reinterpret_cast<const char*>(&value), sizeof value); }
-  template <class List>
-  void add_all(const List& list) {
+  template <class EndpointSnapshot>
+  void add_all(const EndpointSnapshot& list) {
     for (const auto& one : list) {
       add(static_cast<double>(one));
     }
@@ -262,4 +262,4 @@
   return scenario.backoff_ms * chance * std::pow(2, std::min(failures - 1, 6));
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/model/plan.h
+++ b/src/emulator/model/plan.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/model/scenario.h"
+#include "emulator/model/scenario.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 struct PlannedHost {
   std::string id;
@@ -58,4 +58,4 @@
 std::string id_of(const Session& session, int attempt);  // of an attachment, 16 hexadecimal digits
 std::string hex(std::uint64_t value);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/model/scenario.cpp
+++ b/src/emulator/model/scenario.cpp
@@ -1,4 +1,4 @@
-#include "fleet/model/scenario.h"
+#include "emulator/model/scenario.h"
 
 #include <toml++/toml.h>
 
@@ -12,7 +12,7 @@
 #include <sstream>
 #include <variant>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 // What a setting is: a number with its bounds, or a word out of a list.
@@ -584,4 +584,4 @@
   return out.str();
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/model/scenario.h
+++ b/src/emulator/model/scenario.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 struct Place {  // in a scenario's file; line 0: nowhere
   std::uint32_t line = 0, column = 0;
@@ -106,4 +106,4 @@
 bool names_hosts(Ill kind);
 bool names_nodes(Ill kind);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/report/page.cpp
+++ b/src/emulator/report/page.cpp
@@ -1,4 +1,4 @@
-#include "fleet/report/page.h"
+#include "emulator/report/page.h"
 
 #include <spdlog/fmt/fmt.h>
 #include <sys/wait.h>
@@ -10,11 +10,11 @@
 #include <fstream>
 #include <sstream>
 
-#include "fleet/report/result.h"
+#include "emulator/report/result.h"
 
 using nlohmann::json;
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr std::size_t kLines = 16;  // hosts drawn one by one; more are drawn as a map of colours
@@ -340,4 +340,4 @@
   write_file(html, sweep ? sweep_page(folder) : run_page(folder));
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/report/page.h
+++ b/src/emulator/report/page.h
@@ -3,8 +3,8 @@
 #pragma once
 #include <string>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 void write_page(const std::string& folder, const std::string& html);  // throws BadInput or std::runtime_error
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/report/result.cpp
+++ b/src/emulator/report/result.cpp
@@ -1,4 +1,4 @@
-#include "fleet/report/result.h"
+#include "emulator/report/result.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr double kLeastMs = 0.01, kMostMs = 60000;
@@ -254,4 +254,4 @@
   write_file(folder + "/series.json", result.series().dump() + "\n");
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/report/result.h
+++ b/src/emulator/report/result.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/audit/audit.h"
+#include "emulator/audit/audit.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 class Latency {  // of things that took from 0.01 ms to a minute, to 2%
  public:
@@ -76,4 +76,4 @@
 void check_folder(const std::string& folder);  // the same fault, before a run is begun
 void write_file(const std::string& path, const std::string& text);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/sim/policy.cpp
+++ b/src/emulator/sim/policy.cpp
@@ -1,13 +1,13 @@
-#include "fleet/sim/policy.h"
+#include "emulator/sim/policy.h"
 
 #include <algorithm>
 #include <map>
 
-#include "chance.h"
-#include "fleet/model/scenario.h"
-#include "notes.h"
+#include "base/random.h"
+#include "emulator/model/scenario.h"
+#include "policy/notes.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr Tenths kAskAgain = kSecond;
@@ -26,27 +26,27 @@
 
 class Module : public Policy {
  public:
-  Module(const Settings& settings, std::uint64_t seed, Tenths now) : choice_(settings, seed, now) {}
-  std::vector<Action> take(Tenths now, const std::vector<Event>& events) override {
-    return choice_.take(now, events);
+  Module(const SettingsMap& settings, std::uint64_t seed, Tenths now) : load_balancer_(settings, seed, now) {}
+  std::vector<Action> handle_events(Tenths now, const std::vector<Event>& events) override {
+    return load_balancer_.handle_events(now, events);
   }
 
  private:
-  Choice choice_;
+  LoadBalancer load_balancer_;
 };
 
 // The baselines: no probes, no scores, no moves but off hosts that leave; only the order of hosts differs.
 // The one that knows the truth also eases hosts that are full.
 class Baseline : public Policy {
  public:
-  Baseline(std::string name, const Settings& settings, std::uint64_t seed, Truth truth)
+  Baseline(std::string name, const SettingsMap& settings, std::uint64_t seed, Truth truth)
       : name_(std::move(name)),
         fault_(fault_of(name_)),
         settings_(settings),
         chance_(seed),
         truth_(std::move(truth)) {}
 
-  std::vector<Action> take(Tenths now, const std::vector<Event>& events) override {
+  std::vector<Action> handle_events(Tenths now, const std::vector<Event>& events) override {
     now_ = now;
     for (const Event& event : events) {
       happened(event);
@@ -56,7 +56,7 @@
 
  private:
   struct Known {
-    Listing listing;
+    EndpointEntry listing;
     int open = 0;
   };
   struct Held {
@@ -110,9 +110,9 @@
   }
 
   void listed(const Event& event) {
-    for (const Listing& one : event.listings) {
+    for (const EndpointEntry& one : event.listings) {
       hosts_[one.host].listing = one;
-      if (one.state != HostState::healthy) {
+      if (one.state != EndpointState::healthy) {
         move_all(one.host);
       }
     }
@@ -120,8 +120,8 @@
   void hosts_gone(const Event& event) {
     for (auto& [id, known] : hosts_) {
       if (std::none_of(event.listings.begin(), event.listings.end(),
-                       [&id = id](const Listing& one) { return one.host == id; })) {
-        known.listing.state = HostState::gone;
+                       [&id = id](const EndpointEntry& one) { return one.host == id; })) {
+        known.listing.state = EndpointState::removed;
       }
     }
   }
@@ -172,7 +172,7 @@
     if (event.final || found->second.standing) {
       return void(held_.erase(found));
     }
-    const bool ran = event.outcome != Outcome::turned_away && event.outcome != Outcome::no_connection &&
+    const bool ran = event.outcome != Outcome::rejected && event.outcome != Outcome::connect_failed &&
                      event.outcome != Outcome::not_sent;
     const std::string at = entry(settings_, "traffic.", found->second.event.traffic_type);
     if (ran && text(settings_, at + "effect") != "idempotent") {
@@ -229,12 +229,12 @@
     std::string best;
     double least = 0;
     for (const auto& [id, known] : hosts_) {
-      if (known.listing.state != HostState::healthy && fault_ != Fault::ignores_drain) {
+      if (known.listing.state != EndpointState::healthy && fault_ != Fault::ignores_drain) {
         continue;
       }
       // A draining host is what this fault likes best.
       double here = rank(held, id, known);
-      if (fault_ == Fault::ignores_drain && known.listing.state != HostState::healthy && here < 1e8) {
+      if (fault_ == Fault::ignores_drain && known.listing.state != EndpointState::healthy && here < 1e8) {
         here -= 1e7;
       }
       if (best.empty() || here < least) {
@@ -247,8 +247,8 @@
   static constexpr int kLooks = 1;  // number of the alarm
   std::string name_;
   Fault fault_;
-  const Settings settings_;
-  Chance chance_;
+  const SettingsMap settings_;
+  RandomGenerator chance_;
   Truth truth_;
   Tenths now_ = 0;
   std::map<std::string, Known> hosts_;
@@ -287,7 +287,7 @@
   return Fault::none;
 }
 
-std::unique_ptr<Policy> policy_of(const std::string& name, const Settings& settings, std::uint64_t seed,
+std::unique_ptr<Policy> policy_of(const std::string& name, const SettingsMap& settings, std::uint64_t seed,
                                   Tenths now, Truth truth) {
   const Fault fault = fault_of(name);
   const bool own = name == "dapplewharf" ||
@@ -298,4 +298,4 @@
   return std::make_unique<Baseline>(name, settings, seed, std::move(truth));
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/sim/policy.h
+++ b/src/emulator/sim/policy.h
@@ -7,14 +7,14 @@
 #include <string>
 #include <vector>
 
-#include "choice.h"
+#include "policy/load_balancer.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 class Policy {
  public:
   virtual ~Policy() = default;
-  virtual std::vector<Action> take(Tenths now, const std::vector<Event>& events) = 0;
+  virtual std::vector<Action> handle_events(Tenths now, const std::vector<Event>& events) = 0;
 };
 
 // A fault of the node around the policy, carried out by the driver.
@@ -36,7 +36,7 @@
 std::vector<std::string> policy_names();
 void check_policy(const std::string& name);  // throws BadInput where there is none such
 Fault fault_of(const std::string& name);
-std::unique_ptr<Policy> policy_of(const std::string& name, const Settings& settings, std::uint64_t seed,
+std::unique_ptr<Policy> policy_of(const std::string& name, const SettingsMap& settings, std::uint64_t seed,
                                   Tenths now, Truth truth);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/sim/sim.cpp
+++ b/src/emulator/sim/sim.cpp
@@ -1,4 +1,4 @@
-#include "fleet/sim/sim.h"
+#include "emulator/sim/sim.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,13 +6,13 @@
 #include <queue>
 #include <unordered_map>
 
-#include "fleet/env.h"
-#include "fleet/model/chance.h"
-#include "fleet/model/host.h"
-#include "fleet/sim/policy.h"
-#include "settings.h"
+#include "config/platform_settings.h"
+#include "emulator/env.h"
+#include "emulator/model/chance.h"
+#include "emulator/model/host.h"
+#include "emulator/sim/policy.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr Tenths kEpoch = 1000 * kSecond;  // what the module's clock shows when a run begins
@@ -175,8 +175,8 @@
     std::vector<Index> standing;             // connections, in the order they came
     std::vector<int> served;                 // clients served, by node's zone and traffic type
     int connections = 0;
-    std::deque<double> probed;            // ms, each second
-    HostState told = HostState::healthy;  // what the list says now
+    std::deque<double> probed;                    // ms, each second
+    EndpointState told = EndpointState::healthy;  // what the list says now
   };
   struct Node {
     std::unique_ptr<Policy> policy;
@@ -264,7 +264,7 @@
       case Kind::try_fails:
         return try_ends(one.a, static_cast<Outcome>(one.c));
       case Kind::try_times_out:
-        return try_ends(one.a, conns_[one.a].written ? Outcome::no_answer : Outcome::no_connection);
+        return try_ends(one.a, conns_[one.a].written ? Outcome::timed_out : Outcome::connect_failed);
       case Kind::host_turn:
         return host_turn(one.a, one.c);
       case Kind::up_arrives:
@@ -288,7 +288,7 @@
       case Kind::list_counts:
         return list_counts(one.a, one.b);
       case Kind::publish:
-        return publish(one.a, static_cast<int>(one.b), static_cast<HostState>(one.c));
+        return publish(one.a, static_cast<int>(one.b), static_cast<EndpointState>(one.c));
       case Kind::trouble_begins:
         return trouble(one.a, true);
       case Kind::trouble_ends:
@@ -590,9 +590,9 @@
                          hosts_[host].connections >= scenario_.cap * plan_.hosts[host].cores;
     if (!reachable) {
       at(now_ + std::min(time_out, from_ms(scenario_.connect_ms)), Kind::try_fails, i, kNone,
-         static_cast<int>(Outcome::no_connection));
+         static_cast<int>(Outcome::connect_failed));
     } else if (refused) {
-      at(now_ + 2 * one_way, Kind::try_fails, i, kNone, static_cast<int>(Outcome::no_connection));
+      at(now_ + 2 * one_way, Kind::try_fails, i, kNone, static_cast<int>(Outcome::connect_failed));
     } else {
       at(now_ + 2 * one_way, Kind::try_sent, i), at(now_ + 3 * one_way, Kind::try_arrives, i);
     }
@@ -617,7 +617,7 @@
     }
     if (host.is == HostIs::down || host.life != conn.host_life) {
       return at(now_ + way(nodes_[conn.node], conn.host), Kind::word_arrives, i, kNone,
-                static_cast<int>(Outcome::lost));
+                static_cast<int>(Outcome::connection_lost));
     }
     ++host.connections;
     conn.at_host = true;
@@ -629,7 +629,7 @@
       at(now_ + way(nodes_[conn.node], conn.host), Kind::word_arrives, i, kNone, static_cast<int>(outcome));
     };
     if (host.draining || host.model.full()) {
-      return word(Outcome::turned_away);
+      return word(Outcome::rejected);
     }
     const std::string id = id_of(session(conn.client), conn.attempt);
     audit_.try_ran(id, static_cast<int>(conn.host));
@@ -770,7 +770,7 @@
     }
     const std::string id = id_of(session(conn.client), conn.attempt);
     if (!stood) {
-      audit_.try_over(id, static_cast<int>(conn.host), conn.written && outcome != Outcome::turned_away, now_);
+      audit_.try_over(id, static_cast<int>(conn.host), conn.written && outcome != Outcome::rejected, now_);
     }
     if (conn.number >= 0) {
       Event& event = tell(conn.node, EventKind::try_ended, id, conn.host);
@@ -829,7 +829,7 @@
     }
     const Index c = conn.client;
     const bool stood = !conn.hears;
-    end_conn(i, politely ? Outcome::cancelled : Outcome::lost, stood);
+    end_conn(i, politely ? Outcome::cancelled : Outcome::connection_lost, stood);
     const Index node = conn.node;
     if (stood) {
       client_cut(c, politely ? Ended::moved : Ended::by_host, true);
@@ -860,7 +860,7 @@
     node.held = 0;
     std::fill(node.standing.begin(), node.standing.end(), 0);
     std::fill(node.slow.begin(), node.slow.end(), false);
-    const Settings settings = settings_of(env_of(scenario_, plan_, static_cast<int>(n)));
+    const SettingsMap settings = settings_of(env_of(scenario_, plan_, static_cast<int>(n)));
     node.policy =
         policy_of(policy_, settings, XXH64(&n, sizeof n, seed_ + static_cast<std::uint64_t>(node.life)),
                   kEpoch + now_, [this](const std::string& host) { return truth(host); });
@@ -903,7 +903,7 @@
     }  // the outer turn goes on
     while (node.alive && !node.events.empty()) {
       const std::vector<Event> events = std::exchange(node.events, {});
-      for (const Action& action : node.policy->take(kEpoch + now_, events)) {
+      for (const Action& action : node.policy->handle_events(kEpoch + now_, events)) {
         act(n, action);
       }
     }
@@ -985,12 +985,12 @@
     const Tenths patience = from_ms(scenario_.connect_ms) + kProbeSlack;
     const bool reachable = hosts_[h].is != HostIs::vanished && !answers_lost(n, h);
     at(now_ + patience, Kind::probe_over, i, kNone,
-       static_cast<int>(reachable ? Outcome::no_answer : Outcome::no_connection));
+       static_cast<int>(reachable ? Outcome::timed_out : Outcome::connect_failed));
     if (!reachable) {
       return;
     }
     if (hosts_[h].is == HostIs::down) {
-      at(now_ + 2 * one_way, Kind::probe_over, i, kNone, static_cast<int>(Outcome::no_connection));
+      at(now_ + 2 * one_way, Kind::probe_over, i, kNone, static_cast<int>(Outcome::connect_failed));
     } else {
       at(now_ + one_way, Kind::probe_arrives, i);  // on a connection kept for it
     }
@@ -1008,13 +1008,13 @@
     }
     host.model.advance(now_);
     at(now_ + from_ms(host.model.probe_ms()) + way(nodes_[probe.node], probe.host), Kind::probe_over, i,
-       kNone, static_cast<int>(Outcome::honoured));
+       kNone, static_cast<int>(Outcome::succeeded));
   }
 
   void probe_over(Index i, Outcome outcome) {
     Probe& probe = probes_[i];
-    if (probe.over || (outcome == Outcome::honoured && (answers_lost(probe.node, probe.host) ||
-                                                        hosts_[probe.host].life != probe.host_life))) {
+    if (probe.over || (outcome == Outcome::succeeded && (answers_lost(probe.node, probe.host) ||
+                                                         hosts_[probe.host].life != probe.host_life))) {
       return;
     }
     probe.over = true;
@@ -1030,8 +1030,8 @@
 
   // --- the list ---
 
-  std::vector<Listing> listings() const {
-    std::vector<Listing> out;
+  std::vector<EndpointEntry> listings() const {
+    std::vector<EndpointEntry> out;
     for (Index h = 0; h < hosts_.size(); ++h) {
       if (hosts_[h].listed) {
         out.push_back(listing(h));
@@ -1039,17 +1039,17 @@
     }
     return out;
   }
-  Listing listing(Index h) const {
+  EndpointEntry listing(Index h) const {
     const PlannedHost& planned = plan_.hosts[h];
     return {planned.id,   scenario_.zones[static_cast<std::size_t>(planned.zone)],
             planned.zone, hosts_[h].told,
             planned.size, hosts_[h].started > 0 ? kEpoch + hosts_[h].started : 0};
   }
 
-  void hears_list(Index n, const std::vector<Listing>& list) {
-    for (const Listing& one : list) {
+  void hears_list(Index n, const std::vector<EndpointEntry>& list) {
+    for (const EndpointEntry& one : list) {
       audit_.told(static_cast<int>(n), static_cast<int>(numbers_.at(one.host)),
-                  one.state != HostState::healthy, now_);
+                  one.state != EndpointState::healthy, now_);
     }
   }
 
@@ -1098,13 +1098,13 @@
   }
 
   // The service learns of a host's state and tells those that watch.
-  void publish(Index h, int life, HostState state) {
+  void publish(Index h, int life, EndpointState state) {
     Host& host = hosts_[h];
     if (host.life != life) {
       return;  // it has changed again meanwhile
     }
     host.told = state;
-    host.listed = state != HostState::gone;
+    host.listed = state != EndpointState::removed;
     if (list_down_ > 0) {
       return;
     }
@@ -1113,7 +1113,7 @@
         continue;
       }
       if (!nodes_[n].watches) {
-        if (state != HostState::healthy) {
+        if (state != EndpointState::healthy) {
           at(std::max(now_, nodes_[n].asked_list + from_s(scenario_.ask_within_s)), Kind::list_counts, n, h,
              0);
         }
@@ -1126,11 +1126,11 @@
     }
   }
   void list_counts(Index n, Index h) {
-    if (hosts_[h].told != HostState::healthy && nodes_[n].alive) {
+    if (hosts_[h].told != EndpointState::healthy && nodes_[n].alive) {
       audit_.told(static_cast<int>(n), static_cast<int>(h), true, now_);
     }
   }
-  void tell_list(Index h, HostState state, double after_s) {
+  void tell_list(Index h, EndpointState state, double after_s) {
     at(now_ + from_s(after_s + stale_s_), Kind::publish, h, static_cast<Index>(hosts_[h].life),
        static_cast<int>(state));
   }
@@ -1289,7 +1289,7 @@
     }
     host.is = how, host.since = now_;
     if (noticed_s < for_s) {
-      tell_list(h, HostState::gone, noticed_s);
+      tell_list(h, EndpointState::removed, noticed_s);
     }
     if (how == HostIs::down) {
       lose_all(h);
@@ -1327,7 +1327,7 @@
     host.connections = 0;
     host.works.clear(), host.standing.clear();
     host.model.start(now_, true);
-    tell_list(h, HostState::healthy, scenario_.list_late_s);
+    tell_list(h, EndpointState::healthy, scenario_.list_late_s);
   }
 
   void drains(Index i, Index h) {
@@ -1338,7 +1338,7 @@
     }
     host.draining = true;
     host.pace = trouble.pace;
-    tell_list(h, HostState::draining, scenario_.list_late_s);
+    tell_list(h, EndpointState::draining, scenario_.list_late_s);
     if (host.pace != "none") {
       at(now_ + from_s(scenario_.list_late_s), Kind::paced, h, kNone, host.life);
     }
@@ -1608,4 +1608,4 @@
   return Run(scenario, seed, policy).run(effort);
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/sim/sim.h
+++ b/src/emulator/sim/sim.h
@@ -2,9 +2,9 @@
 // nothing that outlives a run; the same scenario, seed and policy give the same bytes. Never reads a clock or
 // a thread.
 #pragma once
-#include "fleet/report/result.h"
+#include "emulator/report/result.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 struct Effort {                            // what a run took
   double virtual_s = 0, connection_s = 0;  // the sum of standing connections over seconds
@@ -13,4 +13,4 @@
 Result simulate(const Scenario& scenario, std::uint64_t seed, const std::string& policy,
                 Effort* effort = nullptr);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/soak.cpp
+++ b/src/emulator/soak.cpp
@@ -1,4 +1,4 @@
-#include "fleet/soak.h"
+#include "emulator/soak.h"
 
 #include <spdlog/fmt/fmt.h>
 #include <sys/wait.h>
@@ -12,9 +12,9 @@
 #include <map>
 #include <vector>
 
-#include "fleet/model/chance.h"
+#include "emulator/model/chance.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr double kDurationS = 9;
@@ -259,4 +259,4 @@
   return counts[Verdict::broken] > 0 ? 3 : bad > 0 || counts[Verdict::kept] == 0 ? 1 : 0;
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/soak.h
+++ b/src/emulator/soak.h
@@ -4,9 +4,9 @@
 #pragma once
 #include <string>
 
-#include "fleet/live/live.h"
+#include "emulator/live/live.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 struct Soak {
   std::uint64_t first = 1, last = 10;  // seeds
@@ -23,4 +23,4 @@
 // broken.
 int run_soak(const Soak& soak);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/sweep.cpp
+++ b/src/emulator/sweep.cpp
@@ -1,4 +1,4 @@
-#include "fleet/sweep.h"
+#include "emulator/sweep.h"
 
 #include <spdlog/fmt/fmt.h>
 #include <xxhash.h>
@@ -16,12 +16,12 @@
 #include <sstream>
 #include <thread>
 
-#include "fleet/model/chance.h"
-#include "fleet/report/result.h"
-#include "fleet/sim/policy.h"
-#include "fleet/sim/sim.h"
+#include "emulator/model/chance.h"
+#include "emulator/report/result.h"
+#include "emulator/sim/policy.h"
+#include "emulator/sim/sim.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 constexpr int kResamples = 2000;
@@ -248,7 +248,7 @@
     throw BadInput(fault);
   }
   if (interrupted) {
-    std::cerr << "dapplewharf_fleet: interrupted with " << done << " of " << jobs.size()
+    std::cerr << "dapplewharf_emulator: interrupted with " << done << " of " << jobs.size()
               << " runs done; the same command goes on from there\n";
     return 1;
   }
@@ -320,4 +320,4 @@
   return broken > 0 ? 3 : 0;
 }
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/fleet/sweep.h
+++ b/src/emulator/sweep.h
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/model/scenario.h"
+#include "emulator/model/scenario.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 
 struct Sweep {
   std::string file, out;
@@ -33,4 +33,4 @@
 // Plays what is missing and prints the table; the exit code.
 int run_sweep(const Sweep& sweep);
 
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/src/members/tally.cpp
+++ b/src/gossip/peer_load_table.cpp
@@ -1,4 +1,4 @@
-#include "members/tally.h"
+#include "gossip/peer_load_table.h"
 
 #include <algorithm>
 
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::vector<int> Tally::tell_to(Tenths now, const Counts& counts) {
+std::vector<int> PeerLoadTable::tell_to(Tenths now, const Counts& counts) {
   const bool changed = counts != told_;
   if (nodes_ < 2 || now < (changed ? std::min(changed_next_, next_) : next_)) {
     return {};
@@ -44,7 +44,7 @@
   return others;
 }
 
-std::string Tally::word(const Counts& counts, Tenths unix_now) {
+std::string PeerLoadTable::word(const Counts& counts, Tenths unix_now) {
   std::vector<std::pair<int, std::uint16_t>> most;
   for (const auto& [host, count] : counts) {
     if (count > 0) {
@@ -68,7 +68,7 @@
   return out;
 }
 
-bool Tally::hear(int from, std::string_view bytes, Tenths unix_now) {
+bool PeerLoadTable::hear(int from, std::string_view bytes, Tenths unix_now) {
   const auto at = [&](std::size_t i) { return static_cast<int>(static_cast<unsigned char>(bytes[i])); };
   if (from < 0 || from >= nodes_ || from == me_) {
     return false;
@@ -98,7 +98,7 @@
   return true;
 }
 
-std::optional<double> Tally::elsewhere(const std::string& host, Tenths unix_now) const {
+std::optional<double> PeerLoadTable::elsewhere(const std::string& host, Tenths unix_now) const {
   int heard = 0;
   int sum = 0;
   for (const auto& [from, word] : words_) {
--- a/src/members/tally.h
+++ b/src/gossip/peer_load_table.h
@@ -10,17 +10,17 @@
 #include <string_view>
 #include <vector>
 
-#include "base/clock.h"
-#include "chance.h"
+#include "base/random.h"
+#include "base/time.h"
 
 namespace dapplewharf {
 
-class Tally {
+class PeerLoadTable {
  public:
   using Counts = std::map<std::string, int>;  // connections of one node at each host
 
   // `nodes` in all and this one's number among them; fewer than two: nothing is ever told.
-  Tally(int nodes, int me, std::uint64_t seed) : nodes_(nodes), me_(me), chance_(seed) {}
+  PeerLoadTable(int nodes, int me, std::uint64_t seed) : nodes_(nodes), me_(me), chance_(seed) {}
 
   // To whom `counts` are to be told now: several at once after a change, a few now and then else.
   std::vector<int> tell_to(Tenths now, const Counts& counts);
@@ -41,7 +41,7 @@
     std::map<std::uint16_t, int> counts;
   };
   int nodes_, me_;
-  Chance chance_;
+  RandomGenerator chance_;
   Counts told_;
   Tenths next_ = 0, changed_next_ = 0;
   std::map<int, Word> words_;
--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -8,9 +8,9 @@
 #include <stdexcept>
 
 #include "base/socket.h"
-#include "choice.h"
-#include "settings.h"
-#include "sidecar/render.h"
+#include "config/platform_settings.h"
+#include "config/render.h"
+#include "policy/load_balancer.h"
 
 using nlohmann::json;
 
@@ -113,11 +113,11 @@
 }
 
 // Danger: a file that is half right is not taken by halves.
-sidecar::Document good_one(const std::string& path, sidecar::Use use) {
-  sidecar::Document document = sidecar::load(path, use);
+config::Document good_one(const std::string& path, config::Use use) {
+  config::Document document = config::load(path, use);
   std::size_t errors = 0;
-  const sidecar::Fault* first = nullptr;
-  for (const sidecar::Fault& fault : document.faults) {
+  const config::Fault* first = nullptr;
+  for (const config::Fault& fault : document.faults) {
     if (!fault.warning && errors++ == 0) {
       first = &fault;
     }
@@ -126,12 +126,12 @@
     return document;
   }
   throw std::runtime_error(
-      sidecar::told(document, *first, false) +
+      config::told(document, *first, false) +
       (errors > 1 ? " (and " + std::to_string(errors - 1) + " more; --check tells all)" : ""));
 }
 
-void take_log(const sidecar::Document& document, LogSettings& to) {
-  const sidecar::Block* log = document.find("log");
+void take_log(const config::Document& document, LogSettings& to) {
+  const config::Block* log = document.find("log");
   if (log) {
     to = {log->word("format") == "json", log->word("level"), log->word("decisions")};
   }
@@ -147,7 +147,7 @@
   const std::size_t first = text.find_first_not_of(" \t\r\n");
   json from;
   if (first == std::string::npos || text[first] != '{') {
-    from = sidecar::render(good_one(path, sidecar::Use::sidecar));
+    from = config::render(good_one(path, config::Use::sidecar));
   } else {
     try {
       from = json::parse(text);
@@ -164,7 +164,7 @@
     throw std::runtime_error(path + ":1:1: there are no 'settings'; expected an object of that name");
   }
   try {
-    Choice(settings_of(from["settings"]), 0, 0);
+    LoadBalancer(settings_of(from["settings"]), 0, 0);
   } catch (const std::exception& error) {
     throw std::runtime_error(path + ":1:1: the settings to watch cannot be used: " + error.what());
   }
@@ -188,7 +188,7 @@
   to.env = from["settings"];
   // Danger: settings that lack a rule would be found out only by the attachments that break it.
   try {
-    Choice(settings_of(to.env), 0, 0);
+    LoadBalancer(settings_of(to.env), 0, 0);
   } catch (const json::exception& error) {
     throw std::runtime_error(std::string("'settings' cannot be used: ") + error.what());
   }
@@ -232,16 +232,16 @@
     if (files.language.empty()) {
       from = platform_file(files.json), settings_hold(from, files.json);
     } else {
-      const sidecar::Document document = good_one(files.language, sidecar::Use::sidecar);
-      from = sidecar::render(document);
+      const config::Document document = good_one(files.language, config::Use::sidecar);
+      from = config::render(document);
       take_log(document, log);
       source = Source::file_only;  // the environment is the platform's
     }
     std::string shadow = files.shadow;
     if (!files.operators.empty()) {
-      const sidecar::Document document = good_one(files.operators, sidecar::Use::operators);
+      const config::Document document = good_one(files.operators, config::Use::operators);
       take_log(document, log);
-      const sidecar::Block* block = document.find("shadow");
+      const config::Block* block = document.find("shadow");
       if (block && shadow.empty()) {
         shadow = block->word("settings");
       }
@@ -265,14 +265,14 @@
 
 std::string told_whole(const Files& files) {
   std::string out;
-  for (const auto& [path, use] : {std::pair(files.language, sidecar::Use::sidecar),
-                                  std::pair(files.operators, sidecar::Use::operators)}) {
+  for (const auto& [path, use] : {std::pair(files.language, config::Use::sidecar),
+                                  std::pair(files.operators, config::Use::operators)}) {
     if (path.empty()) {
       continue;
     }
-    const sidecar::Document document = sidecar::load(path, use);
-    for (const sidecar::Fault& fault : document.faults) {
-      out += sidecar::told(document, fault, true) + "\n";
+    const config::Document document = config::load(path, use);
+    for (const config::Fault& fault : document.faults) {
+      out += config::told(document, fault, true) + "\n";
     }
   }
   return out;
--- a/src/node/configuration.h
+++ b/src/node/configuration.h
@@ -6,8 +6,8 @@
 #include <string>
 
 #include "base/log.h"
-#include "node/peers.h"
-#include "words.h"
+#include "node/gossip_socket.h"
+#include "policy/words.h"
 
 namespace dapplewharf {
 
--- a/src/node/relay.cpp
+++ b/src/node/connection_table.cpp
@@ -1,4 +1,4 @@
-#include "node/relay.h"
+#include "node/connection_table.h"
 
 #include <fcntl.h>
 #include <netinet/tcp.h>
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <cerrno>
 
-#include "notes.h"
+#include "policy/notes.h"
 
 namespace dapplewharf {
 namespace {
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-Relay::Relay(Loop& loop, Counters& counters, const Limits& limits, const Grammar& grammar,
-             Callbacks callbacks)
+ConnectionTable::ConnectionTable(EventLoop& loop, Counters& counters, const Limits& limits,
+                                 const RequestSchema& grammar, Callbacks callbacks)
     : loop_(loop),
       counters_(counters),
       limits_(limits),
@@ -42,7 +42,7 @@
       callbacks_(std::move(callbacks)),
       spare_(::open("/dev/null", O_RDONLY | O_CLOEXEC)) {}
 
-std::optional<std::string> Relay::listen(const sockaddr_in& at) {
+std::optional<std::string> ConnectionTable::listen(const sockaddr_in& at) {
   if (auto fault = listen_at(at, listener_)) {
     return fault;
   }
@@ -50,7 +50,7 @@
   return std::nullopt;
 }
 
-void Relay::accept_all() {
+void ConnectionTable::accept_all() {
   for (int i = 0; i < kAtOnce; ++i) {
     Socket taken(accept4(listener_.number(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!taken) {
@@ -78,23 +78,23 @@
       continue;
     }
     const int descriptor = taken.number();
-    Link link;
+    ProxiedConnection link;
     link.client.socket = std::move(taken);
-    const Ticket ticket = links_.add(std::move(link));
-    Link& held = *links_.find(ticket);
-    held.client.watched =
-        loop_.watch(descriptor, POLLIN, [this, ticket](short) { guarded(ticket, &Relay::client_ready); });
+    const Handle ticket = links_.add(std::move(link));
+    ProxiedConnection& held = *links_.find(ticket);
+    held.client.watched = loop_.watch(
+        descriptor, POLLIN, [this, ticket](short) { guarded(ticket, &ConnectionTable::client_ready); });
     greeting_ends(ticket, held, kGreetingTime);
     held.silent_since = loop_.now();
     silent_.push_back(ticket);
     // Its line may have come with it: then it is not one of the silent.
-    guarded(ticket, &Relay::client_ready);
+    guarded(ticket, &ConnectionTable::client_ready);
   }
 }
 
 // Whether those that say nothing hold more than their part. Danger: many usual clients that come at once are
 // silent for a moment, each until its line has come; they do not give way to one another.
-bool Relay::crowded() {
+bool ConnectionTable::crowded() {
   if (silent_.size() < static_cast<std::size_t>(limits_.descriptors / kSilentPart)) {
     return false;
   }
@@ -103,7 +103,7 @@
 
 // Danger: a passing failure of the system is no reason to turn a client away: who waits at the door loses
 // nothing by it. Only where it lasts, or this process has no descriptor left, one of them is told so.
-void Relay::accept_later(int error) {
+void ConnectionTable::accept_later(int error) {
   ++counters_.accept_failures;
   if (accept_failing_since_ == 0) {
     accept_failing_since_ = loop_.now();
@@ -125,10 +125,10 @@
 
 // Danger: hundreds that connect and say nothing, or PING once, take every descriptor. A usual client sends
 // its line at once, so the longest silent gives way, after one more look at whether it has spoken meanwhile.
-void Relay::evict_one() {
+void ConnectionTable::evict_one() {
   while (!silent_.empty()) {
-    const Ticket ticket = silent_.front();
-    guarded(ticket, &Relay::client_ready);
+    const Handle ticket = silent_.front();
+    guarded(ticket, &ConnectionTable::client_ready);
     if (silent_.empty() || !(silent_.front() == ticket)) {
       continue;
     }
@@ -138,14 +138,14 @@
   }
 }
 
-bool Relay::may_log() {
+bool ConnectionTable::may_log() {
   if (loop_.now() - logged_at_ >= kSecond) {
     logged_at_ = loop_.now(), logged_ = 0;
   }
   return ++logged_ <= kLoggedASecond;  // danger: a flood of bad lines takes the log; the counter has them all
 }
 
-void Relay::refuse(Ticket ticket, Link& link, const std::string& fault) {
+void ConnectionTable::refuse(Handle ticket, ProxiedConnection& link, const std::string& fault) {
   ++counters_.malformed;
   if (may_log()) {
     spdlog::warn("client's first line is malformed: {}", fault);
@@ -153,13 +153,13 @@
   close_after(ticket, link, "ERR\r\n");
 }
 
-void Relay::turn_away(const Socket& taken) {
+void ConnectionTable::turn_away(const Socket& taken) {
   ++counters_.no_descriptor;
   taken.send_whole("BUSY\r\n");
   taken.finish();
 }
 
-bool Relay::turn_away_one() {
+bool ConnectionTable::turn_away_one() {
   spare_.close();
   Socket taken(accept4(listener_.number(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   const bool any = static_cast<bool>(taken);
@@ -172,12 +172,12 @@
 }
 
 // Danger: what one connection sends must cost no other.
-void Relay::guarded(Ticket ticket, void (Relay::*what)(Ticket)) {
+void ConnectionTable::guarded(Handle ticket, void (ConnectionTable::*what)(Handle)) {
   try {
     (this->*what)(ticket);
   } catch (const std::exception& error) {
     spdlog::error("connection dropped: {}", error.what());
-    Link* link = links_.find(ticket);
+    ProxiedConnection* link = links_.find(ticket);
     if (!link) {
       return;
     }
@@ -189,17 +189,17 @@
 }
 
 // Danger: a string that grows by doubling holds up to twice what it may, times all connections.
-std::optional<std::size_t> Relay::take(const Side& from, std::string& to, bool& ended) {
+std::optional<std::size_t> ConnectionTable::take(const Peer& from, std::string& to, bool& ended) {
   to.reserve(kBuffer);
   return from.socket.receive(to, kBuffer - to.size(), ended);
 }
 
-void Relay::client_ready(Ticket ticket) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::client_ready(Handle ticket) {
+  ProxiedConnection* link = links_.find(ticket);
   if (!link) {
     return;
   }
-  Side& client = link->client;
+  Peer& client = link->client;
   if (link->phase == Phase::relaying) {
     bool ended = false;
     const std::size_t before = link->host.out.size();
@@ -238,7 +238,7 @@
     }
     // Danger: commands poured in behind the first one would reach the host of that one. A client waits.
     callbacks_.client_left(ticket);
-    end_try(ticket, *link, Cause::client);
+    end_try(ticket, *link, TerminationReason::client);
     return refuse(ticket, *link, "more before its answer");
   }
   if (link->phase == Phase::greeting) {
@@ -250,7 +250,7 @@
   // The client has gone, or ends its sending: it gets an answer in case it still listens.
   ++counters_.left;
   callbacks_.client_left(ticket);
-  end_try(ticket, *link, Cause::client);
+  end_try(ticket, *link, TerminationReason::client);
   if (got) {
     close_after(ticket, *link, "ERR\r\n");
   } else {
@@ -258,9 +258,9 @@
   }
 }
 
-void Relay::greeting_ends(Ticket ticket, Link& link, Tenths after) {
+void ConnectionTable::greeting_ends(Handle ticket, ProxiedConnection& link, Tenths after) {
   loop_.at(link.deadline, loop_.now() + after, [this, ticket] {
-    Link* late = links_.find(ticket);
+    ProxiedConnection* late = links_.find(ticket);
     if (late && !late->early.empty()) {
       refuse(ticket, *late, "half a line");
     } else {
@@ -269,7 +269,7 @@
   });
 }
 
-void Relay::greet(Ticket ticket, Link& link) {
+void ConnectionTable::greet(Handle ticket, ProxiedConnection& link) {
   for (int pings = 0;; ++pings) {
     const std::size_t end = link.early.find('\n');
     const bool long_one = end == std::string::npos ? link.early.size() >= kLongestLine : end >= kLongestLine;
@@ -318,15 +318,15 @@
   }
 }
 
-void Relay::begin_attempt(Ticket ticket, const std::optional<sockaddr_in>& address, Tenths time_out,
-                          Tenths connect_time) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::begin_attempt(Handle ticket, const std::optional<sockaddr_in>& address, Tenths time_out,
+                                    Tenths connect_time) {
+  ProxiedConnection* link = links_.find(ticket);
   if (!link || link->phase != Phase::waiting || link->try_out) {
     return;
   }
   ++counters_.tries;
   link->try_out = true;
-  link->reach = Reach::not_connected;
+  link->reach = AttemptProgress::not_connected;
   link->first.clear();
   link->try_until = loop_.now() + time_out;
   // Danger: behind a long turn, or chosen in the very turn of its client's end, a try is a host's work for
@@ -336,7 +336,7 @@
     return;
   }
   if (!address) {
-    return end_try(ticket, *link, Cause::broken);
+    return end_try(ticket, *link, TerminationReason::broken);
   }
   const Tenths connect_until =
       std::min(link->try_until, loop_.now() + (connect_time > 0 ? connect_time : limits_.connect_time));
@@ -345,8 +345,8 @@
 
 // Danger: what fails on this machine for a moment would be taken for the host's fault, or use up all tries of
 // a request at once. Until the time to connect is over it is tried again; the host hears nothing of it.
-void Relay::dial_host(Ticket ticket, const sockaddr_in& address, Tenths connect_until) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::dial_host(Handle ticket, const sockaddr_in& address, Tenths connect_until) {
+  ProxiedConnection* link = links_.find(ticket);
   if (!link || !link->try_out) {
     return;
   }
@@ -355,16 +355,16 @@
   }
   switch (dial(address, limits_.descriptors, kKeptBack, link->host.socket)) {
     case Dial::refused:
-      return end_try(ticket, *link, Cause::broken);
+      return end_try(ticket, *link, TerminationReason::broken);
     case Dial::no_descriptor:
-      return end_try(ticket, *link, Cause::no_descriptor);
+      return end_try(ticket, *link, TerminationReason::no_descriptor);
     case Dial::local_failure:
       ++counters_.local_failures;
       if (loop_.now() + kDialPause >= connect_until) {
-        return end_try(ticket, *link, Cause::local_failure);
+        return end_try(ticket, *link, TerminationReason::local_failure);
       }
       return loop_.at(link->deadline, loop_.now() + kDialPause, [this, ticket, address, connect_until] {
-        const Link* waiting = links_.find(ticket);
+        const ProxiedConnection* waiting = links_.find(ticket);
         if (waiting && waiting->try_out && may_still_send(ticket)) {
           dial_host(ticket, address, connect_until);
         }
@@ -373,74 +373,74 @@
       break;
   }
   link->host.watched = loop_.watch(link->host.socket.number(), POLLOUT,
-                                   [this, ticket](short) { guarded(ticket, &Relay::host_ready); });
+                                   [this, ticket](short) { guarded(ticket, &ConnectionTable::host_ready); });
   times_out(ticket, *link, connect_until);
 }
 
-void Relay::times_out(Ticket ticket, Link& link, Tenths when) {
+void ConnectionTable::times_out(Handle ticket, ProxiedConnection& link, Tenths when) {
   loop_.at(link.deadline, when, [this, ticket] {
-    if (Link* late = links_.find(ticket)) {
-      end_try(ticket, *late, Cause::time_out);
+    if (ProxiedConnection* late = links_.find(ticket)) {
+      end_try(ticket, *late, TerminationReason::time_out);
     }
   });
 }
 
 // Reads what the client has sent by now, or its end; null when that ended the try.
-Relay::Link* Relay::attempt_with_client(Ticket ticket) {
+ConnectionTable::ProxiedConnection* ConnectionTable::attempt_with_client(Handle ticket) {
   if (links_.find(ticket)->client.socket.has_news()) {
     client_ready(ticket);
   }
-  Link* link = links_.find(ticket);
+  ProxiedConnection* link = links_.find(ticket);
   return link && link->try_out ? link : nullptr;
 }
 
 // Danger: a connection comes up long after its host was chosen. Meanwhile the client may have left, the host
 // may have been announced as leaving, or the time may be over, also in this very turn or during a pause of
 // the process; whatever is found here is known not to have run. What has begun is never withdrawn.
-bool Relay::may_still_send(Ticket ticket) {
-  Link* link = attempt_with_client(ticket);
+bool ConnectionTable::may_still_send(Handle ticket) {
+  ProxiedConnection* link = attempt_with_client(ticket);
   if (!link) {
     return false;
   }
   if (loop_.now() >= link->try_until) {
-    return end_try(ticket, *link, Cause::time_out), false;
+    return end_try(ticket, *link, TerminationReason::time_out), false;
   }
   if (!callbacks_.may_send(ticket)) {
-    return end_try(ticket, *link, Cause::withdrawn), false;
+    return end_try(ticket, *link, TerminationReason::withdrawn), false;
   }
   return true;
 }
 
-bool Relay::deliver(Ticket ticket, Link& link) {
-  if (link.reach == Reach::not_connected) {
+bool ConnectionTable::deliver(Handle ticket, ProxiedConnection& link) {
+  if (link.reach == AttemptProgress::not_connected) {
     if (!link.host.socket.connected()) {
-      return end_try(ticket, link, Cause::broken), false;
+      return end_try(ticket, link, TerminationReason::broken), false;
     }
     if (!may_still_send(ticket)) {
       return false;
     }
-    link.reach = Reach::partly_written;
+    link.reach = AttemptProgress::partly_written;
     link.host.out = with_wait(link.opening, link.try_until - loop_.now());
     times_out(ticket, link, link.try_until);
   }
-  if (link.reach == Reach::written) {
+  if (link.reach == AttemptProgress::written) {
     return true;
   }
   const auto given = link.host.socket.send(link.host.out.data(), link.host.out.size());
   if (!given) {
-    return end_try(ticket, link, Cause::broken), false;
+    return end_try(ticket, link, TerminationReason::broken), false;
   }
   link.host.out.erase(0, *given);
   if (link.host.out.empty()) {
-    link.reach = Reach::written;
+    link.reach = AttemptProgress::written;
     ++counters_.tries_written;
   }
   loop_.want(link.host.watched, link.host.out.empty() ? POLLIN : POLLIN | POLLOUT);
   return true;
 }
 
-void Relay::host_ready(Ticket ticket) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::host_ready(Handle ticket) {
+  ProxiedConnection* link = links_.find(ticket);
   if (!link || !link->host.socket) {
     return;
   }
@@ -450,7 +450,7 @@
     }
     return;
   }
-  Side& host = link->host;
+  Peer& host = link->host;
   const std::size_t before = link->client.out.size();
   if (!host.in_ended && before < kBuffer) {
     bool ended = false;
@@ -469,37 +469,37 @@
   settle(ticket, *link);
 }
 
-void Relay::await_up(Ticket ticket, Link& link) {
+void ConnectionTable::await_up(Handle ticket, ProxiedConnection& link) {
   bool ended = false;
   const auto got = link.host.socket.receive(link.first, kBuffer - link.first.size(), ended);
   if (!got) {
-    return end_try(ticket, link, Cause::broken);
+    return end_try(ticket, link, TerminationReason::broken);
   }
   const std::size_t end = link.first.find('\n');
   if (end == std::string::npos) {
     if (ended) {
-      end_try(ticket, link, Cause::closed);
+      end_try(ticket, link, TerminationReason::closed);
     } else if (link.first.size() > kLongestLine) {
-      end_try(ticket, link, Cause::nonsense);
+      end_try(ticket, link, TerminationReason::nonsense);
     }
     return;
   }
   const Word word = word_of(std::string_view(link.first).substr(0, end + 1));
   if (word == Word::busy) {
-    return end_try(ticket, link, Cause::busy);
+    return end_try(ticket, link, TerminationReason::busy);
   }
   if (word == Word::error) {
-    return end_try(ticket, link, Cause::error);
+    return end_try(ticket, link, TerminationReason::error);
   }
-  if (word != Word::up || link.reach != Reach::written) {
+  if (word != Word::up || link.reach != AttemptProgress::written) {
     if (may_log()) {
       spdlog::warn("a host answered nonsense: {}", link.first.substr(0, std::min<std::size_t>(end, 80)));
     }
-    return end_try(ticket, link, Cause::nonsense);
+    return end_try(ticket, link, TerminationReason::nonsense);
   }
   loop_.cancel(link.deadline);
   link.phase = Phase::relaying;
-  link.reach = Reach::up;
+  link.reach = AttemptProgress::up;
   link.flowed = loop_.now();
   ++counters_.up;
   ++counters_.honoured;
@@ -520,12 +520,12 @@
   }
 }
 
-void Relay::drop_host(Link& link) {
+void ConnectionTable::drop_host(ProxiedConnection& link) {
   loop_.unwatch(link.host.watched);
-  link.host = Side();
+  link.host = Peer();
 }
 
-void Relay::end_try(Ticket ticket, Link& link, Cause cause) {
+void ConnectionTable::end_try(Handle ticket, ProxiedConnection& link, TerminationReason cause) {
   if (!link.try_out) {
     return;
   }
@@ -535,14 +535,14 @@
   callbacks_.attempt_ended(ticket, {link.reach, cause});
 }
 
-void Relay::cancel(Ticket ticket) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::cancel(Handle ticket) {
+  ProxiedConnection* link = links_.find(ticket);
   if (link && link->phase == Phase::waiting) {
-    end_try(ticket, *link, Cause::cancelled);
+    end_try(ticket, *link, TerminationReason::cancelled);
   }
 }
 
-void Relay::from_client(Link& link, std::size_t from) {
+void ConnectionTable::from_client(ProxiedConnection& link, std::size_t from) {
   counters_.bytes_to_hosts += link.host.out.size() - from;
   link.flowed = loop_.now();
   if (link.asked_at == 0 && link.host.out.find('\n', from) != std::string::npos) {
@@ -550,7 +550,7 @@
   }
 }
 
-void Relay::from_host(Ticket ticket, Link& link, std::size_t from) {
+void ConnectionTable::from_host(Handle ticket, ProxiedConnection& link, std::size_t from) {
   counters_.bytes_to_clients += link.client.out.size() - from;
   link.flowed = loop_.now();
   for (std::size_t at = from; at < link.client.out.size(); ++at) {
@@ -571,7 +571,7 @@
   }
 }
 
-void Relay::host_line(Ticket ticket, Link& link) {
+void ConnectionTable::host_line(Handle ticket, ProxiedConnection& link) {
   link.last = word_of(link.head);
   if (link.last == Word::load) {
     return callbacks_.load_reported(ticket, load_of(link.head));
@@ -584,14 +584,14 @@
 
 // A client is sent whole lines, so that MOVE can always stand between two, but for lines longer than the
 // protocol's and for what comes before an end.
-std::size_t Relay::may_go(const Link& link) {
+std::size_t ConnectionTable::may_go(const ProxiedConnection& link) {
   const std::size_t all = link.client.out.size();
   const bool long_one = all - link.whole >= kLongestLine || (link.within_line && link.whole == 0);
   return link.host.in_ended || long_one ? all : link.whole;
 }
 
 // Sends what may go to a side; false when that side is broken.
-bool Relay::flush(Link& link, Side& side, const Side& other) {
+bool ConnectionTable::flush(ProxiedConnection& link, Peer& side, const Peer& other) {
   const bool to_client = &side == &link.client;
   const std::size_t may = to_client ? may_go(link) : side.out.size();
   if (may > 0) {
@@ -615,7 +615,7 @@
   return true;
 }
 
-void Relay::settle(Ticket ticket, Link& link) {
+void ConnectionTable::settle(Handle ticket, ProxiedConnection& link) {
   if (!flush(link, link.host, link.client)) {
     return host_broke(ticket, link);
   }
@@ -626,7 +626,7 @@
   if (link.client.out_ended && link.host.out_ended) {
     return finished(ticket, link);
   }
-  const auto events = [](const Side& side, const Side& other, bool sends) {
+  const auto events = [](const Peer& side, const Peer& other, bool sends) {
     return static_cast<short>((!side.in_ended && other.out.size() < kBuffer ? POLLIN : 0) |
                               (sends ? POLLOUT : 0));
   };
@@ -636,38 +636,38 @@
 
 // Danger: a host that cannot be reached any more may live and answer others; a client that is cut off without
 // MOVE would not come again. What a host has reset it has ended, and the client's side ends alike.
-void Relay::host_broke(Ticket ticket, Link& link) {
+void ConnectionTable::host_broke(Handle ticket, ProxiedConnection& link) {
   if (!is_way_broken(errno) || link.client.out_ended) {
     return broke(ticket, link, link.client);
   }
-  end_try(ticket, link, Cause::broken);
+  end_try(ticket, link, TerminationReason::broken);
   move(ticket);
 }
 
 // One side broke: the other gets what it is owed, then a reset.
-void Relay::broke(Ticket ticket, Link& link, Side& other) {
+void ConnectionTable::broke(Handle ticket, ProxiedConnection& link, Peer& other) {
   other.socket.send_whole(other.out);
   other.socket.abort();
   finished(ticket, link);
 }
 
-void Relay::finished(Ticket ticket, Link& link) {
-  const Cause cause = link.last == Word::bye    ? Cause::bye
-                      : link.last == Word::move ? Cause::move
-                      : link.client_first       ? Cause::client
-                      : link.host.in_ended      ? Cause::closed
-                                                : Cause::broken;
+void ConnectionTable::finished(Handle ticket, ProxiedConnection& link) {
+  const TerminationReason cause = link.last == Word::bye    ? TerminationReason::bye
+                                  : link.last == Word::move ? TerminationReason::move
+                                  : link.client_first       ? TerminationReason::client
+                                  : link.host.in_ended      ? TerminationReason::closed
+                                                            : TerminationReason::broken;
   end_try(ticket, link, cause);
   drop(ticket);
 }
 
-void Relay::set_linger(Ticket ticket) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::set_linger(Handle ticket) {
+  ProxiedConnection* link = links_.find(ticket);
   if (!link || link->deadline.number != 0) {
     return;
   }
   loop_.at(link->deadline, loop_.now() + (link->host.in_ended ? kHostEnded : kLinger), [this, ticket] {
-    Link* held = links_.find(ticket);
+    ProxiedConnection* held = links_.find(ticket);
     if (!held) {
       return;
     }
@@ -679,30 +679,31 @@
   });
 }
 
-void Relay::answer(Ticket ticket, const std::string& line) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::answer(Handle ticket, const std::string& line) {
+  ProxiedConnection* link = links_.find(ticket);
   if (!link || link->phase != Phase::waiting) {
     return;
   }
-  end_try(ticket, *link, Cause::cancelled);
+  end_try(ticket, *link, TerminationReason::cancelled);
   close_after(ticket, *link, line);
 }
 
-std::size_t Relay::busy() {
+std::size_t ConnectionTable::busy() {
   std::size_t count = 0;
-  links_.each(
-      [&](Ticket, const Link& link) { count += link.phase != Phase::greeting || !link.early.empty(); });
+  links_.each([&](Handle, const ProxiedConnection& link) {
+    count += link.phase != Phase::greeting || !link.early.empty();
+  });
   return count;
 }
 
-bool Relay::accept_pending() {
+bool ConnectionTable::accept_pending() {
   const auto before = counters_.accepted;
   accept_all();
   return counters_.accepted != before || accept_failing_since_ != 0;
 }
 
-void Relay::shorten_attempts(Tenths until) {
-  links_.each([&](Ticket ticket, Link& link) {
+void ConnectionTable::shorten_attempts(Tenths until) {
+  links_.each([&](Handle ticket, ProxiedConnection& link) {
     if (!link.try_out || link.phase != Phase::waiting || link.try_until <= until) {
       return;
     }
@@ -711,8 +712,8 @@
   });
 }
 
-void Relay::move(Ticket ticket) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::move(Handle ticket) {
+  ProxiedConnection* link = links_.find(ticket);
   if (link && link->phase == Phase::waiting) {  // it stood before this node started and is not up again yet
     link->try_out = false;
     return close_after(ticket, *link, "MOVE\r\n");
@@ -730,7 +731,7 @@
 }
 
 // Danger: closing at once would reset the connection when bytes lie unread, and the answer would be lost.
-void Relay::close_after(Ticket ticket, Link& link, const std::string& line) {
+void ConnectionTable::close_after(Handle ticket, ProxiedConnection& link, const std::string& line) {
   link.phase = Phase::closing;
   std::erase(silent_, ticket);
   drop_host(link);
@@ -741,8 +742,8 @@
   flush_closing(ticket, link);
 }
 
-void Relay::flush_closing(Ticket ticket, Link& link) {
-  Side& client = link.client;
+void ConnectionTable::flush_closing(Handle ticket, ProxiedConnection& link) {
+  Peer& client = link.client;
   if (!client.out.empty()) {
     const auto given = client.socket.send(client.out.data(), client.out.size());
     if (!given) {
@@ -760,8 +761,8 @@
   loop_.want(client.watched, client.out.empty() ? POLLIN : POLLIN | POLLOUT);
 }
 
-void Relay::drop(Ticket ticket) {
-  Link* link = links_.find(ticket);
+void ConnectionTable::drop(Handle ticket) {
+  ProxiedConnection* link = links_.find(ticket);
   if (!link) {
     return;
   }
--- a/src/node/discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -1,12 +1,12 @@
-#include "node/discovery.h"
+#include "node/endpoint_discovery.h"
 
 #include <spdlog/spdlog.h>
 
 #include <nlohmann/json.hpp>
 
-#include "backoff.h"
-#include "notes.h"
-#include "settings.h"
+#include "config/platform_settings.h"
+#include "policy/backoff.h"
+#include "policy/notes.h"
 #include "wire/http.h"
 
 using nlohmann::json;
@@ -25,11 +25,12 @@
 constexpr Tenths kPause = 100 * kMs;          // short enough for the watch to go on
 constexpr Tenths kAgain = 200 * kMs;          // at most, between calls while something counts as told soon
 
-HostState state_of(const std::string& word) {
+EndpointState state_of(const std::string& word) {
   if (word == "up") {
-    return HostState::healthy;
+    return EndpointState::healthy;
   }
-  return word == "draining" ? HostState::draining : HostState::gone;  // danger: new work on an unknown word
+  return word == "draining" ? EndpointState::draining
+                            : EndpointState::removed;  // danger: new work on an unknown word
 }
 
 template <class Value>
@@ -43,7 +44,7 @@
 
 }  // namespace
 
-Tenths Starts::place(const std::string& host, double unix_ms, Tenths now, Tenths unix_now) {
+Tenths Incarnations::place(const std::string& host, double unix_ms, Tenths now, Tenths unix_now) {
   if (!(unix_ms > 0)) {
     return 0;
   }
@@ -54,12 +55,12 @@
   return at->second.second;
 }
 
-List list_of(const json& from, Starts& starts, Tenths now, Tenths unix_now) {
-  List to;
+EndpointSnapshot list_of(const json& from, Incarnations& starts, Tenths now, Tenths unix_now) {
+  EndpointSnapshot to;
   to.whole = from.at("reset").get<bool>();
   to.version = from.at("generation").get<std::int64_t>();
   for (const json& entry : from.at("instances")) {
-    Listing listing;
+    EndpointEntry listing;
     listing.host = entry.at("instanceId").get<std::string>();
     listing.zone = field<std::string>(entry, "zone", "");
     listing.kind = field<std::string>(entry, "machineType", "");
@@ -76,8 +77,8 @@
   return to;
 }
 
-Discovery::Discovery(Loop& loop, Counters& counters, std::string address, const Limits& limits,
-                     std::uint64_t seed, Heard heard)
+EndpointDiscovery::EndpointDiscovery(EventLoop& loop, Counters& counters, std::string address,
+                                     const Limits& limits, std::uint64_t seed, Heard heard)
     : loop_(loop),
       counters_(counters),
       address_(std::move(address)),
@@ -85,12 +86,12 @@
       heard_(std::move(heard)),
       chance_(seed) {}
 
-void Discovery::watch() {
+void EndpointDiscovery::watch() {
   watching_ = true;
   next();
 }
 
-void Discovery::fetch() {
+void EndpointDiscovery::fetch() {
   fetching_ = true;
   next();
 }
@@ -98,7 +99,7 @@
 // Danger: versions are counted by each place for itself. Changes after a version of the old one would leave
 // out a drain, so nothing but a whole list will do until one has come. A call that is out is no loss: the
 // module keeps its list and its weights, and the watch goes on at the new place by itself.
-void Discovery::move_to(const std::string& address) {
+void EndpointDiscovery::move_to(const std::string& address) {
   if (address == address_) {
     return;
   }
@@ -111,7 +112,7 @@
   fetch();
 }
 
-void Discovery::next() {
+void EndpointDiscovery::next() {
   if (out_) {
     return;
   }
@@ -124,7 +125,7 @@
   call("/api/targets?after=" + std::to_string(version_) + "&wait_ms=" + std::to_string(kWait / kMs), true);
 }
 
-void Discovery::call(const std::string& target, bool waits) {
+void EndpointDiscovery::call(const std::string& target, bool waits) {
   const Tenths patience = waits ? kWait + (hung_ ? kLongPatience : kPatience) : Backoff::kPatience;
   out_ = true;
   ++counters_.list_calls;
@@ -147,7 +148,7 @@
   ready();
 }
 
-void Discovery::dial_out() {
+void EndpointDiscovery::dial_out() {
   const auto at = address_of(address_);
   connected_ = false;
   sent_ = 0;
@@ -159,7 +160,7 @@
   watched_ = loop_.watch(socket_.number(), POLLOUT, [this](short) { ready(); });
 }
 
-void Discovery::ready() {
+void EndpointDiscovery::ready() {
   if (!connected_) {
     if (!socket_.connected()) {
       return broken(false);
@@ -200,10 +201,10 @@
   answered(answer.body, answer.closes || ended);
 }
 
-void Discovery::answered(const std::string& body, bool closes) {
-  List list;
+void EndpointDiscovery::answered(const std::string& body, bool closes) {
+  EndpointSnapshot list;
   try {
-    list = list_of(json::parse(body), starts, loop_.now(), Loop::unix_now());
+    list = list_of(json::parse(body), starts, loop_.now(), EventLoop::unix_now());
   } catch (const std::exception& error) {  // danger: a list that is half garbage; the last good one is kept
     spdlog::warn("discovery's list is not usable: {}", error.what());
     return broken(false);
@@ -236,7 +237,7 @@
   heard_.listed(list);
 }
 
-void Discovery::broken(bool may_be_stale) {
+void EndpointDiscovery::broken(bool may_be_stale) {
   if (may_be_stale) {  // a kept connection was closed meanwhile: once more, on a new one
     hang_up();
     stale_ = false;
@@ -260,7 +261,7 @@
   heard_.lost();
 }
 
-void Discovery::hang_up() {
+void EndpointDiscovery::hang_up() {
   loop_.unwatch(watched_);
   socket_.close();
   connected_ = false;
--- a/src/node/peers.cpp
+++ b/src/node/gossip_socket.cpp
@@ -1,4 +1,4 @@
-#include "node/peers.h"
+#include "node/gossip_socket.h"
 
 #include <poll.h>
 #include <spdlog/spdlog.h>
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-Peers::Peers(Loop& loop, Counters& counters, const PeerSettings& settings, std::uint64_t seed)
+GossipSocket::GossipSocket(EventLoop& loop, Counters& counters, const PeerSettings& settings,
+                           std::uint64_t seed)
     : loop_(loop), counters_(counters), tally_(static_cast<int>(settings.peers.size()), settings.me, seed) {
   const auto at = address_of(settings.listen);
   if (!at || settings.peers.size() < 2) {
@@ -31,7 +32,7 @@
 }
 
 // Danger: a system that is short of something for a moment would leave this node alone for good.
-void Peers::open() {
+void GossipSocket::open() {
   opened_at_ = loop_.now();
   Socket socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket || bind(socket.number(), reinterpret_cast<const sockaddr*>(&*listen_), sizeof *listen_) != 0) {
@@ -45,7 +46,7 @@
   loop_.watch(socket_.number(), POLLIN, [this](short) { read(); });
 }
 
-void Peers::tell(const Tally::Counts& counts) {
+void GossipSocket::tell(const PeerLoadTable::Counts& counts) {
   if (!socket_ && listen_ && loop_.now() - opened_at_ >= kOpenEvery) {
     open();
   }
@@ -56,7 +57,7 @@
   if (others.empty()) {
     return;
   }
-  const std::string word = Tally::word(counts, Loop::unix_now());
+  const std::string word = PeerLoadTable::word(counts, EventLoop::unix_now());
   for (const int other : others) {
     const sockaddr_in& to = addresses_[static_cast<std::size_t>(other)];
     // A word that the system does not take is lost like one on the way: the next one tells it all anew.
@@ -67,7 +68,7 @@
   }
 }
 
-void Peers::read() {
+void GossipSocket::read() {
   char bytes[kLongestWord];
   for (int i = 0; i < kAtOnce; ++i) {
     sockaddr_in from{};
@@ -84,7 +85,7 @@
       }
     }
     const bool whole = got <= static_cast<ssize_t>(sizeof bytes);
-    if (whole && tally_.hear(sender, {bytes, static_cast<std::size_t>(got)}, Loop::unix_now())) {
+    if (whole && tally_.hear(sender, {bytes, static_cast<std::size_t>(got)}, EventLoop::unix_now())) {
       ++counters_.words_heard;
     } else {
       ++counters_.words_passed;
@@ -92,8 +93,8 @@
   }
 }
 
-std::optional<double> Peers::elsewhere(const std::string& host) const {
-  return socket_ ? tally_.elsewhere(host, Loop::unix_now()) : std::nullopt;
+std::optional<double> GossipSocket::elsewhere(const std::string& host) const {
+  return socket_ ? tally_.elsewhere(host, EventLoop::unix_now()) : std::nullopt;
 }
 
 }  // namespace dapplewharf
--- a/src/node/peers.h
+++ b/src/node/gossip_socket.h
@@ -3,9 +3,9 @@
 // none, or the socket cannot be had, nothing is told and the node goes on alone.
 #pragma once
 #include "base/counters.h"
-#include "base/loop.h"
+#include "base/event_loop.h"
 #include "base/socket.h"
-#include "members/tally.h"
+#include "gossip/peer_load_table.h"
 
 namespace dapplewharf {
 
@@ -15,21 +15,21 @@
   int me = 0;
 };
 
-class Peers {
+class GossipSocket {
  public:
-  Peers(Loop& loop, Counters& counters, const PeerSettings& settings, std::uint64_t seed);
+  GossipSocket(EventLoop& loop, Counters& counters, const PeerSettings& settings, std::uint64_t seed);
 
   explicit operator bool() const { return listen_.has_value(); }  // whether any words may go or come
-  void tell(const Tally::Counts& counts);                         // if it is time to
+  void tell(const PeerLoadTable::Counts& counts);                 // if it is time to
   std::optional<double> elsewhere(const std::string& host) const;
 
  private:
   void read();
   void open();
 
-  Loop& loop_;
+  EventLoop& loop_;
   Counters& counters_;
-  Tally tally_;
+  PeerLoadTable tally_;
   std::vector<sockaddr_in> addresses_;
   std::optional<sockaddr_in> listen_;
   Tenths opened_at_ = 0;  // when that was last tried
--- a/src/node/probes.cpp
+++ b/src/node/health_checker.cpp
@@ -1,6 +1,6 @@
-#include "node/probes.h"
+#include "node/health_checker.h"
 
-#include "notes.h"
+#include "policy/notes.h"
 
 namespace dapplewharf {
 namespace {
@@ -10,10 +10,10 @@
 
 }  // namespace
 
-Probes::Probes(Loop& loop, Counters& counters, const Limits& limits, Told told)
+HealthChecker::HealthChecker(EventLoop& loop, Counters& counters, const Limits& limits, Told told)
     : loop_(loop), counters_(counters), limits_(limits), told_(std::move(told)) {}
 
-void Probes::probe(const std::string& host, const std::string& address) {
+void HealthChecker::probe(const std::string& host, const std::string& address) {
   Line& line = lines_[host];
   if (line.out) {
     return;
@@ -26,7 +26,7 @@
   loop_.at(line.deadline, loop_.now() + limits_.connect_time + kProbeSlack, [this, host] {
     const auto found = lines_.find(host);
     if (found != lines_.end()) {
-      over(host, found->second, Cause::time_out, false);
+      over(host, found->second, TerminationReason::time_out, false);
     }
   });
   if (line.address != address) {  // it moved
@@ -42,42 +42,42 @@
 }
 
 // Danger: connections kept to machines that are gone without a word would add up.
-void Probes::forget(const std::string& host) {
+void HealthChecker::forget(const std::string& host) {
   const auto found = lines_.find(host);
   if (found == lines_.end()) {
     return;
   }
-  over(host, found->second, Cause::cancelled, false);
+  over(host, found->second, TerminationReason::cancelled, false);
   lines_.erase(host);
 }
 
-void Probes::dial_out(const std::string& host, Line& line) {
-  line.reach = Reach::not_connected;
+void HealthChecker::dial_out(const std::string& host, Line& line) {
+  line.reach = AttemptProgress::not_connected;
   line.stale = false;
   line.sent = 0;
   const auto to = address_of(line.address);
   const Dial dialled = to ? dial(*to, limits_.descriptors, kProbesLeave, line.socket) : Dial::refused;
   if (dialled != Dial::begun) {
     return over(host, line,
-                dialled == Dial::refused         ? Cause::broken
-                : dialled == Dial::no_descriptor ? Cause::no_descriptor
-                                                 : Cause::local_failure,
+                dialled == Dial::refused         ? TerminationReason::broken
+                : dialled == Dial::no_descriptor ? TerminationReason::no_descriptor
+                                                 : TerminationReason::local_failure,
                 false);
   }
   line.watched = loop_.watch(line.socket.number(), POLLOUT, [this, host](short) { ready(host); });
 }
 
-void Probes::ready(const std::string& host) {
+void HealthChecker::ready(const std::string& host) {
   const auto found = lines_.find(host);
   if (found == lines_.end() || !found->second.socket) {
     return;
   }
   Line& line = found->second;
-  if (line.reach == Reach::not_connected) {
+  if (line.reach == AttemptProgress::not_connected) {
     if (!line.socket.connected()) {
-      return over(host, line, Cause::broken, false);
+      return over(host, line, TerminationReason::broken, false);
     }
-    line.reach = Reach::partly_written;
+    line.reach = AttemptProgress::partly_written;
   }
   bool ended = false;
   auto got = line.socket.receive(line.in, kLongestLine, ended);
@@ -89,7 +89,7 @@
       got = std::nullopt;
     }
     if (line.sent == kPing.size()) {
-      line.reach = Reach::written, line.written = loop_.now();
+      line.reach = AttemptProgress::written, line.written = loop_.now();
     }
   }
   if (!got || ended) {
@@ -98,29 +98,29 @@
       line.socket.close();
       return dial_out(host, line);
     }
-    return over(host, line, ended ? Cause::closed : Cause::broken, false);
+    return over(host, line, ended ? TerminationReason::closed : TerminationReason::broken, false);
   }
   loop_.want(line.watched, line.out && line.sent < kPing.size() ? POLLIN | POLLOUT : POLLIN);
   const std::size_t end = line.in.find('\n');
   if (end == std::string::npos) {
     if (line.in.size() > kLongestLine) {
-      over(host, line, Cause::nonsense, false);
+      over(host, line, TerminationReason::nonsense, false);
     }
     return;
   }
   const Word word = word_of(std::string_view(line.in).substr(0, end + 1));
   line.in.erase(0, end + 1);
-  const Cause cause = word == Word::pong    ? Cause::bye
-                      : word == Word::error ? Cause::error
-                      : word == Word::busy  ? Cause::busy
-                                            : Cause::nonsense;
-  over(host, line, cause, cause == Cause::bye || cause == Cause::error);
+  const TerminationReason cause = word == Word::pong    ? TerminationReason::bye
+                                  : word == Word::error ? TerminationReason::error
+                                  : word == Word::busy  ? TerminationReason::busy
+                                                        : TerminationReason::nonsense;
+  over(host, line, cause, cause == TerminationReason::bye || cause == TerminationReason::error);
 }
 
-void Probes::over(const std::string& host, Line& line, Cause cause, bool keep) {
+void HealthChecker::over(const std::string& host, Line& line, TerminationReason cause, bool keep) {
   Probed probed{{line.reach, cause}, loop_.now() - line.since, 0};
   // Danger: an error comes at once, whatever waits there; as the least time it makes a sound host look slow.
-  if (cause == Cause::bye) {
+  if (cause == TerminationReason::bye) {
     probed.answer_after = loop_.now() - line.written;
   }
   const bool told = std::exchange(line.out, false);
@@ -128,7 +128,7 @@
   if (!keep) {
     loop_.unwatch(line.watched);
     line.socket.close();
-    line.reach = Reach::not_connected;
+    line.reach = AttemptProgress::not_connected;
   }
   if (told) {
     told_(host, probed);
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -13,7 +13,7 @@
 
 #include "base/log.h"
 #include "node/reload.h"
-#include "notes.h"
+#include "policy/notes.h"
 
 using namespace dapplewharf;
 
@@ -102,7 +102,7 @@
     }
     first.taken->descriptors = descriptor_limit(first.taken->descriptors);
     set_log(first.taken->log);
-    Loop loop;
+    EventLoop loop;
     Node node(loop, std::move(*first.taken));
     Reloader reloader(loop, node, asked.files);
     loop.watch(signal_pipe[0], POLLIN, [&node, &reloader](short) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -4,9 +4,9 @@
 
 #include <algorithm>
 
-#include "backoff.h"
-#include "notes.h"
-#include "settings.h"
+#include "config/platform_settings.h"
+#include "policy/backoff.h"
+#include "policy/notes.h"
 
 using nlohmann::json;
 
@@ -31,20 +31,20 @@
 // bytes.
 constexpr double kListPart = 32;
 
-std::string id_of(Ticket ticket) {
+std::string id_of(Handle ticket) {
   return std::to_string(ticket.slot) + "." + std::to_string(ticket.life);
 }
 
 }  // namespace
 
-void Meter::probed(Tenths now, Tenths took) {
+void LatencyEstimator::probed(Tenths now, Tenths took) {
   probes_.emplace_back(now, took);
   while (now - probes_.front().first >= kLeastHolds) {
     probes_.pop_front();
   }
 }
 
-std::optional<Tenths> Meter::least() const {
+std::optional<Tenths> LatencyEstimator::least() const {
   if (probes_.empty()) {
     return std::nullopt;
   }
@@ -53,8 +53,8 @@
 }
 
 // Danger: a host that is slow still echoes lines at once; only what waits in its queue shows it.
-std::optional<Tenths> Meter::tell(Tenths now, Tenths goal, const std::vector<Tenths>& unanswered,
-                                  Tenths at_rest) {
+std::optional<Tenths> LatencyEstimator::tell(Tenths now, Tenths goal, const std::vector<Tenths>& unanswered,
+                                             Tenths at_rest) {
   const Tenths limit = goal / 3;
   while (!lines_.empty() && now - lines_.front().first >= kMeterSpan) {
     lines_.pop_front();
@@ -98,7 +98,7 @@
   return delay;
 }
 
-double work_at_rest(std::vector<double> works) {
+double baseline_service_time(std::vector<double> works) {
   if (works.empty()) {
     return 0;
   }
@@ -106,64 +106,64 @@
   return works[(works.size() - 1) / 3];
 }
 
-Outcome outcome_of(TryEnd end) {
+Outcome outcome_of(AttemptResult end) {
   switch (end.cause) {
-    case Cause::withdrawn:
+    case TerminationReason::withdrawn:
       return Outcome::withdrawn;
-    case Cause::no_descriptor:
-    case Cause::local_failure:
+    case TerminationReason::no_descriptor:
+    case TerminationReason::local_failure:
       return Outcome::not_sent;  // says nothing of the host
-    case Cause::client:
-    case Cause::cancelled:
-    case Cause::move:
+    case TerminationReason::client:
+    case TerminationReason::cancelled:
+    case TerminationReason::move:
       return Outcome::cancelled;
-    case Cause::bye:
-      return Outcome::honoured;
-    case Cause::busy:
-      return Outcome::turned_away;
-    case Cause::error:
-    case Cause::nonsense:
+    case TerminationReason::bye:
+      return Outcome::succeeded;
+    case TerminationReason::busy:
+      return Outcome::rejected;
+    case TerminationReason::error:
+    case TerminationReason::nonsense:
       return Outcome::error;
-    case Cause::time_out:
-    case Cause::broken:
-    case Cause::closed:
+    case TerminationReason::time_out:
+    case TerminationReason::broken:
+    case TerminationReason::closed:
       break;
   }
-  if (end.reach < Reach::written) {
-    return Outcome::no_connection;  // its last byte never went out
+  if (end.reach < AttemptProgress::written) {
+    return Outcome::connect_failed;  // its last byte never went out
   }
-  return end.cause == Cause::time_out ? Outcome::no_answer : Outcome::lost;
+  return end.cause == TerminationReason::time_out ? Outcome::timed_out : Outcome::connection_lost;
 }
 
-Node::Node(Loop& loop, Configuration configuration)
+Node::Node(EventLoop& loop, Configuration configuration)
     : loop_(loop),
       configuration_(std::move(configuration)),
       settings_(settings_of(configuration_.env)),
-      choice_(settings_, configuration_.seed, loop.now()),
+      load_balancer_(settings_, configuration_.seed, loop.now()),
       relay_(loop, counters_, limits_, grammar_,
-             {[this](Ticket at, const Opening& opening) { on_request(at, opening); },
-              [this](Ticket at) { on_client_left(at); }, [this](Ticket at) { on_established(at); },
-              [this](Ticket at, TryEnd end) { on_attempt_ended(at, end); },
-              [this](Ticket at) {
+             {[this](Handle at, const RequestLine& opening) { on_request(at, opening); },
+              [this](Handle at) { on_client_left(at); }, [this](Handle at) { on_established(at); },
+              [this](Handle at, AttemptResult end) { on_attempt_ended(at, end); },
+              [this](Handle at) {
                 const HeldRequest* found = held(at);
                 if (!found) {
                   return true;
                 }
-                return ledger_.may_send(id_of(at), allowed_by_list(*found), loop_.now()) == Refusal::none;
+                return ledger_.may_send(id_of(at), allowed_by_list(*found), loop_.now()) == Violation::none;
               },
-              [this](Ticket at, Tenths delay) {
+              [this](Handle at, Tenths delay) {
                 const HeldRequest* found = held(at);
                 if (found && loop_.late() < kHeldUp) {
                   meters_[found->host].line_back(loop_.now(), delay);
                 }
               },
-              [this](Ticket at, double load) {
+              [this](Handle at, double load) {
                 if (const HeldRequest* found = held(at)) {
                   tell(EventKind::load_told, id_of(at), found->host).figure = load;
                 }
               }}),
       discovery_(loop, counters_, configuration_.discovery, limits_, configuration_.seed,
-                 {[this](const List& list) {
+                 {[this](const EndpointSnapshot& list) {
                     losses_ = 0;
                     on_list(list, list.whole ? EventKind::list_whole : EventKind::list_changes);
                   },
@@ -173,7 +173,7 @@
                     subscribe();
                   }}),
       probes_(loop, counters_, limits_,
-              [this](const std::string& host, const Probes::Probed& probed) {
+              [this](const std::string& host, const HealthChecker::Probed& probed) {
                 Event& event = tell(EventKind::probe_ended, "", host);
                 event.outcome = outcome_of(probed.end);
                 event.took = probed.took;
@@ -209,12 +209,12 @@
 }
 
 std::optional<std::string> Node::start() {
-  List known;
+  EndpointSnapshot known;
   try {
     // Without a list to go on from the first call is for the whole one: changes since nothing may leave hosts
     // out.
     if (!configuration_.known.is_null()) {
-      known = list_of(configuration_.known, discovery_.starts, loop_.now(), Loop::unix_now());
+      known = list_of(configuration_.known, discovery_.starts, loop_.now(), EventLoop::unix_now());
       discovery_.knows(known.version);
     }
   } catch (const std::exception& error) {
@@ -254,12 +254,12 @@
   return event;
 }
 
-Node::HeldRequest* Node::held(Ticket ticket) {
+Node::HeldRequest* Node::held(Handle ticket) {
   const auto found = held_.find(id_of(ticket));
   return found == held_.end() ? nullptr : &found->second;
 }
 
-void Node::on_request(Ticket ticket, const Opening& opening) {
+void Node::on_request(Handle ticket, const RequestLine& opening) {
   HeldRequest made;
   made.ticket = ticket;
   Event& event = tell(opening.at.empty() ? EventKind::attachment : EventKind::handed_over, id_of(ticket));
@@ -292,9 +292,9 @@
   }
 }
 
-HostPlace Node::place_of(const std::string& host) const {
+EndpointLocation Node::place_of(const std::string& host) const {
   const auto found = places_.find(host);
-  return found == places_.end() ? HostPlace{host, "", 0} : found->second;
+  return found == places_.end() ? EndpointLocation{host, "", 0} : found->second;
 }
 
 RepeatRule Node::repeat_rule_of(const std::string& traffic_type) const {
@@ -304,12 +304,12 @@
   }
   const std::string effect = text(settings_, at + "effect");
   const std::string group = text(settings_, at + "repeat_group");
-  return {effect == "idempotent"     ? Effect::idempotent
-          : effect == "deduplicated" ? Effect::deduplicated
-                                     : Effect::unrepeatable,
-          group == "all"    ? RepeatGroup::all
-          : group == "zone" ? RepeatGroup::zone
-                            : RepeatGroup::cell,
+  return {effect == "idempotent"     ? Idempotency::idempotent
+          : effect == "deduplicated" ? Idempotency::deduplicated
+                                     : Idempotency::non_idempotent,
+          group == "all"    ? DeduplicationScope::all
+          : group == "zone" ? DeduplicationScope::zone
+                            : DeduplicationScope::cell,
           static_cast<Tenths>(number(settings_, at + "repeat_window", 0))};
 }
 
@@ -318,10 +318,10 @@
     return true;  // nothing new: it stood there before
   }
   const auto leaves = leaving_.find(held.host);
-  return leaves == leaving_.end() || (drain_alone_ && leaves->second == HostState::gone);
+  return leaves == leaving_.end() || (drain_alone_ && leaves->second == EndpointState::removed);
 }
 
-void Node::violated(const std::string& what, const std::string& id, Refusal refusal) {
+void Node::violated(const std::string& what, const std::string& id, Violation refusal) {
   ++counters_.violations;
   const auto found = held_.find(id);
   spdlog::error("refused to {} request {}: {}", what, found == held_.end() ? id : found->second.request,
@@ -330,24 +330,25 @@
 
 void Node::release(const std::string& id) {
   if (ledger_.close(id)) {
-    violated("close unanswered", id, Refusal::none);
+    violated("close unanswered", id, Violation::none);
   }
   held_.erase(id);
 }
 
 // The one way to an attempt: nothing goes to a host that the ledger refuses.
-Refusal Node::start_attempt(HeldRequest& held, const std::string& id, Tenths time_out, Tenths connect_time) {
-  const HostPlace place = place_of(held.host);
-  const Refusal refusal = ledger_.may_begin(id, place, true, loop_.now());  // the list: at the last look
-  if (refusal != Refusal::none) {
+Violation Node::start_attempt(HeldRequest& held, const std::string& id, Tenths time_out,
+                              Tenths connect_time) {
+  const EndpointLocation place = place_of(held.host);
+  const Violation refusal = ledger_.may_begin(id, place, true, loop_.now());  // the list: at the last look
+  if (refusal != Violation::none) {
     return refusal;
   }
   ledger_.begun(id, place, loop_.now());
   relay_.begin_attempt(held.ticket, address_of(address(held.host)), time_out, connect_time);
-  return Refusal::none;
+  return Violation::none;
 }
 
-void Node::reattach(Ticket ticket) {
+void Node::reattach(Handle ticket) {
   HeldRequest* found = held(ticket);
   if (!found || found->up || found->client_done) {
     return;
@@ -357,17 +358,17 @@
   if (stopping_) {
     time = std::max<Tenths>(1, std::min(time, ends_by_ - kLookEvery - loop_.now()));
   }
-  const Refusal refusal = start_attempt(*found, id_of(ticket), time, time);
-  if (refusal == Refusal::none) {
+  const Violation refusal = start_attempt(*found, id_of(ticket), time, time);
+  if (refusal == Violation::none) {
     return;
   }
   found->between_attempts = true;
-  on_attempt_ended(ticket, {Reach::not_connected, Cause::withdrawn});
+  on_attempt_ended(ticket, {AttemptProgress::not_connected, TerminationReason::withdrawn});
 }
 
 // Danger: the platform allows 40 s for a connection from before to come up again, and counts it as lost after
 // that. No single failure ends it: only a rule, its client, its host's leaving or the end of that time does.
-bool Node::reattach_later(Ticket ticket, HeldRequest& held, TryEnd end) {
+bool Node::reattach_later(Handle ticket, HeldRequest& held, AttemptResult end) {
   if (held.between_attempts) {
     return false;  // the ledger has refused
   }
@@ -375,28 +376,28 @@
   const bool listed = !address(held.host).empty();
   const auto leaves = leaving_.find(held.host);
   const bool host_leaves = leaves != leaving_.end() && !drain_alone_;
-  const Refusal refusal = ledger_.may_begin(id, place_of(held.host), !host_leaves, loop_.now());
+  const Violation refusal = ledger_.may_begin(id, place_of(held.host), !host_leaves, loop_.now());
   const auto pause = held.reattach->pause(loop_.now(), listed, chance_.share());
-  const bool again = refusal == Refusal::none && pause && !stopping_;
+  const bool again = refusal == Violation::none && pause && !stopping_;
   spdlog::log(again ? spdlog::level::info : spdlog::level::warn,
               "request {} from before: attempt at host {} ended after ms {}, reach {}, cause {}; {}",
               held.request, held.host, (loop_.now() - held.sent) / kMs, static_cast<int>(end.reach),
               static_cast<int>(end.cause),
-              again                      ? "again in ms " + std::to_string(*pause / kMs)
-              : refusal != Refusal::none ? std::string("given up: ") + name_of(refusal)
-              : stopping_                ? std::string("given up: the node ends")
-                                         : std::string("given up: its time is over"));
+              again                        ? "again in ms " + std::to_string(*pause / kMs)
+              : refusal != Violation::none ? std::string("given up: ") + name_of(refusal)
+              : stopping_                  ? std::string("given up: the node ends")
+                                           : std::string("given up: its time is over"));
   if (!again) {
     return false;
   }
   ++counters_.reattached;
   held.between_attempts = true;
-  Loop::Deadline one;
+  EventLoop::Deadline one;
   loop_.at(one, loop_.now() + *pause, [this, ticket] { reattach(ticket); });
   return true;
 }
 
-void Node::on_client_left(Ticket ticket) {
+void Node::on_client_left(Handle ticket) {
   HeldRequest* found = held(ticket);
   if (!found) {
     return;
@@ -408,16 +409,17 @@
   }
   found->client_done = true;
   if (found->between_attempts) {
-    on_attempt_ended(ticket, {Reach::not_connected, Cause::client});
+    on_attempt_ended(ticket, {AttemptProgress::not_connected, TerminationReason::client});
   }
 }
 
-void Node::on_established(Ticket ticket) {
+void Node::on_established(Handle ticket) {
   HeldRequest* found = held(ticket);
   if (!found) {
     return;
   }
-  if (const Refusal refusal = ledger_.may_answer(id_of(ticket), FinalAnswer::up); refusal != Refusal::none) {
+  if (const Violation refusal = ledger_.may_answer(id_of(ticket), FinalAnswer::up);
+      refusal != Violation::none) {
     violated("pass on UP to", id_of(ticket), refusal);
   }
   ledger_.answered(id_of(ticket));
@@ -429,14 +431,14 @@
                 found->handed_over ? ", from before" : "");
 }
 
-void Node::on_attempt_ended(Ticket ticket, TryEnd end) {
+void Node::on_attempt_ended(Handle ticket, AttemptResult end) {
   HeldRequest* found = held(ticket);
   if (!found || !found->out) {
     return;
   }
   const Outcome outcome = outcome_of(end);
   if (!found->between_attempts) {
-    ledger_.ended(id_of(ticket), outcome != Outcome::turned_away && outcome != Outcome::no_connection &&
+    ledger_.ended(id_of(ticket), outcome != Outcome::rejected && outcome != Outcome::connect_failed &&
                                      outcome != Outcome::not_sent && outcome != Outcome::withdrawn);
   }
   if (found->handed_over && !found->up && !found->client_done && reattach_later(ticket, *found, end)) {
@@ -448,22 +450,22 @@
   event.took = loop_.now() - found->sent;
   event.final = found->up || found->client_done || found->handed_over;
   switch (event.outcome) {
-    case Outcome::honoured:
+    case Outcome::succeeded:
       ++counters_.ended;
       break;
     case Outcome::error:
       ++counters_.errors;
       break;
-    case Outcome::turned_away:
+    case Outcome::rejected:
       ++counters_.turned_away;
       break;
-    case Outcome::no_answer:
+    case Outcome::timed_out:
       ++counters_.unanswered;
       break;
-    case Outcome::no_connection:
+    case Outcome::connect_failed:
       ++counters_.not_connected;
       break;
-    case Outcome::lost:
+    case Outcome::connection_lost:
       ++counters_.lost;
       break;
     case Outcome::cancelled:
@@ -491,15 +493,15 @@
   }
 }
 
-void Node::on_list(const List& list, EventKind kind) {
+void Node::on_list(const EndpointSnapshot& list, EventKind kind) {
   for (const auto& [host, address] : list.addresses) {
     addresses_[host] = address;
   }
   std::set<std::string> up;
   std::set<std::string> gone;
-  for (const Listing& listing : list.listings) {
+  for (const EndpointEntry& listing : list.listings) {
     places_[listing.host] = {listing.host, listing.zone, listing.cell};
-    (listing.state == HostState::gone ? gone : up).insert(listing.host);
+    (listing.state == EndpointState::removed ? gone : up).insert(listing.host);
     if (listing.zone == text(settings_, "zone") && listing.size > 0) {
       near_[listing.host] = listing.size;
     }
@@ -509,16 +511,16 @@
       gone.insert(host);
     }
   }
-  for (const Listing& listing : list.listings) {
-    if (listing.state == HostState::draining) {
+  for (const EndpointEntry& listing : list.listings) {
+    if (listing.state == EndpointState::draining) {
       leaving_[listing.host] = listing.state;
       probes_.forget(listing.host);  // danger: one whose connection comes up late would be new work as well
-    } else if (listing.state == HostState::healthy) {
+    } else if (listing.state == EndpointState::healthy) {
       leaving_.erase(listing.host);
     }
   }
   for (const std::string& host : gone) {
-    leaving_.try_emplace(host, HostState::gone);  // a drain goes on binding
+    leaving_.try_emplace(host, EndpointState::removed);  // a drain goes on binding
   }
   for (const std::string& host : gone) {
     probes_.forget(host), meters_.erase(host), near_.erase(host);
@@ -538,7 +540,7 @@
   if (loop_.late() >= kHeldUp) {
     return;  // danger: after a pause every line seems unanswered
   }
-  relay_.each_standing([&](Ticket ticket, Tenths unanswered) {
+  relay_.each_standing([&](Handle ticket, Tenths unanswered) {
     const HeldRequest* found = held(ticket);
     if (!found || !found->up) {
       return;
@@ -558,7 +560,7 @@
       }
     }
   }
-  const double work = work_at_rest(std::move(works));
+  const double work = baseline_service_time(std::move(works));
   // Danger: a slow host that has lost its last connection is told of no more, and is filled up again.
   for (const auto& [host, meter] : meters_) {
     hosts[host];
@@ -576,7 +578,7 @@
   if (!peers_) {
     return;  // counting what is held costs a walk over all of it
   }
-  Tally::Counts counts;
+  PeerLoadTable::Counts counts;
   for (const auto& [id, one] : held_) {
     if (one.out && !one.client_done) {
       ++counts[one.host];
@@ -597,7 +599,7 @@
 void Node::settle() {
   while (!events_.empty()) {
     const std::vector<Event> batch = std::exchange(events_, {});
-    const std::vector<Action> actions = choice_.take(loop_.now(), batch);
+    const std::vector<Action> actions = load_balancer_.handle_events(loop_.now(), batch);
     if (shadow_) {
       watch_shadow(batch, actions);
     }
@@ -623,16 +625,16 @@
   if (found == held_.end()) {
     return;
   }
-  const Ticket ticket = found->second.ticket;
-  const Refusal refusal = ledger_.may_answer(id, kind);
+  const Handle ticket = found->second.ticket;
+  const Violation refusal = ledger_.may_answer(id, kind);
   // Danger: a rejection says that a repeat is harmless; where it is not, the client is told of a failure.
-  const bool failed_instead = refusal == Refusal::effect_may_repeat;
-  if (refusal != Refusal::none) {
+  const bool failed_instead = refusal == Violation::effect_may_repeat;
+  if (refusal != Violation::none) {
     violated("answer", id, refusal);
   }
   ledger_.answered(id);
   release(id);
-  if (refusal == Refusal::none || failed_instead) {
+  if (refusal == Violation::none || failed_instead) {
     relay_.answer(ticket, failed_instead ? "ERR\r\n" : line);
   }
 }
@@ -648,8 +650,8 @@
       found->second.sent = loop_.now();
       ++found->second.tries;
       found->second.out = true;
-      if (const Refusal refusal = start_attempt(found->second, action.id, action.time, 0);
-          refusal != Refusal::none) {
+      if (const Violation refusal = start_attempt(found->second, action.id, action.time, 0);
+          refusal != Violation::none) {
         violated("begin an attempt for", action.id, refusal);
         Event& never = tell(EventKind::try_ended, action.id, action.host);
         never.number = found->second.tries - 1, never.outcome = Outcome::not_sent, never.final = true;
@@ -677,16 +679,16 @@
       }
       ++counters_.moved;
       spdlog::debug("moved off host {}", found->second.host);
-      const Ticket ticket = found->second.ticket;
+      const Handle ticket = found->second.ticket;
       ledger_.answered(action.id);
       found->second.client_done = true;
-      on_attempt_ended(ticket, {Reach::up, Cause::cancelled});
+      on_attempt_ended(ticket, {AttemptProgress::up, TerminationReason::cancelled});
       return relay_.move(ticket);
     }
     case ActionKind::probe:
       return probes_.probe(action.host, address(action.host));
     case ActionKind::set_alarm: {
-      Loop::Deadline one;  // alarms are never withdrawn
+      EventLoop::Deadline one;  // alarms are never withdrawn
       return loop_.at(one, loop_.now() + action.time,
                       [this, number = action.number] { tell(EventKind::alarm).number = number; });
     }
@@ -705,7 +707,8 @@
   }
   stopping_ = true;
   stopped_at_ = loop_.now();
-  // Settled here: a SIGHUP on the way changes no more of it. Settings that name no expiry leave the longest.
+  // Settled here: a SIGHUP on the way changes no more of it. SettingsMap that name no expiry leave the
+  // longest.
   const auto expiry = static_cast<Tenths>(extreme(settings_, "traffic.", ".expiry", 1, kLongestWait));
   ends_by_ = stopped_at_ + std::min(expiry, kLongestWait) + kBeforeKill;
   tell(EventKind::stopping).expiry = ends_by_ - kLookEvery;
@@ -736,12 +739,12 @@
   if (text(settings_, "zone") != zone) {
     near_.clear();  // the list of the new place fills it
   }
-  choice_.adopt(settings_);
+  load_balancer_.update_settings(settings_);
   if (!configuration_.shadow) {
     shadow_.reset();
   }
   if (shadow_) {
-    shadow_->adopt(settings_of(*configuration_.shadow));
+    shadow_->update_settings(settings_of(*configuration_.shadow));
   }
   set_log(configuration_.log);
   take_settings();
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -6,21 +6,21 @@
 #include <unordered_map>
 
 #include "base/counters.h"
-#include "choice.h"
 #include "node/configuration.h"
-#include "node/discovery.h"
-#include "node/peers.h"
-#include "node/probes.h"
-#include "node/relay.h"
+#include "node/connection_table.h"
+#include "node/endpoint_discovery.h"
+#include "node/gossip_socket.h"
+#include "node/health_checker.h"
 #include "node/shadow.h"
-#include "policy/reattach.h"
+#include "policy/load_balancer.h"
+#include "policy/reconnect_policy.h"
 #include "policy/request_ledger.h"
 
 namespace dapplewharf {
 
 // How long a message takes at a host. Lines are measured on all connections to it; a probe waits there like
 // any work, and what it takes over the least that one took is time that the host made it wait.
-class Meter {
+class LatencyEstimator {
  public:
   void line_back(Tenths now, Tenths delay) { lines_.emplace_back(now, delay); }
   void probed(Tenths now, Tenths took);
@@ -41,13 +41,14 @@
 // Work is done the faster the larger a host is: what probes take at rest, times the sizes, is alike at all
 // hosts of a zone. What it is, of what each shows; one that answers far too soon is no measure for the rest,
 // so the lowest third is passed. 0 where none shows any.
-double work_at_rest(std::vector<double> works);
+double baseline_service_time(std::vector<double> works);
 
-Outcome outcome_of(TryEnd end);
+Outcome outcome_of(AttemptResult end);
 
 class Node {
  public:
-  Node(Loop& loop, Configuration configuration);  // throws std::runtime_error on a setting that is missing
+  Node(EventLoop& loop,
+       Configuration configuration);  // throws std::runtime_error on a setting that is missing
 
   std::optional<std::string> start();                     // what went wrong, if anything
   void settle();                                          // lets the module see what happened in this turn
@@ -59,67 +60,69 @@
 
  private:
   struct HeldRequest {
-    Ticket ticket;
+    Handle ticket;
     std::string request;  // the client's own id, for the log
     std::string host;
     int tries = 0;
     Tenths sent = 0;
     bool out = false, up = false, client_done = false;  // client_done: answered, moved or left
     bool handed_over = false;                           // it stood at its host before this node started
-    bool between_attempts = false;     // of one handed over: the next attempt is yet to begin
-    std::optional<Reattach> reattach;  // of one handed over
+    bool between_attempts = false;            // of one handed over: the next attempt is yet to begin
+    std::optional<ReconnectPolicy> reattach;  // of one handed over
   };
-  void on_request(Ticket ticket, const Opening& opening);
-  void on_client_left(Ticket ticket);
-  void on_established(Ticket ticket);
-  void on_attempt_ended(Ticket ticket, TryEnd end);
-  void on_list(const List& list, EventKind kind);
+  void on_request(Handle ticket, const RequestLine& opening);
+  void on_client_left(Handle ticket);
+  void on_established(Handle ticket);
+  void on_attempt_ended(Handle ticket, AttemptResult end);
+  void on_list(const EndpointSnapshot& list, EventKind kind);
   void sample_delays();
   void exchange();  // what the nodes hold, among them
   void act(const Action& action);
   void answer(const std::string& id, FinalAnswer kind, const std::string& line);
-  Refusal start_attempt(HeldRequest& held, const std::string& id, Tenths time_out, Tenths connect_time);
-  void reattach(Ticket ticket);
-  bool reattach_later(Ticket ticket, HeldRequest& held, TryEnd end);  // false: no further attempt may follow
+  Violation start_attempt(HeldRequest& held, const std::string& id, Tenths time_out, Tenths connect_time);
+  void reattach(Handle ticket);
+  bool reattach_later(Handle ticket, HeldRequest& held,
+                      AttemptResult end);               // false: no further attempt may follow
   bool allowed_by_list(const HeldRequest& held) const;  // nothing new goes to a host announced as leaving
-  HostPlace place_of(const std::string& host) const;
+  EndpointLocation place_of(const std::string& host) const;
   RepeatRule repeat_rule_of(const std::string& traffic_type) const;
   void release(const std::string& id);  // it is no longer held
-  void violated(const std::string& what, const std::string& id, Refusal refusal);
+  void violated(const std::string& what, const std::string& id, Violation refusal);
   void subscribe();
   void watch_shadow(const std::vector<Event>& events, const std::vector<Action>& actions);
   void take_settings();                                // what the configuration in force says, for all parts
   void close_up();                                     // nothing that is held outlives the process unanswered
   std::string address(const std::string& host) const;  // as discovery last told it; empty where it did not
   Event& tell(EventKind kind, const std::string& id = "", const std::string& host = "");
-  HeldRequest* held(Ticket ticket);
+  HeldRequest* held(Handle ticket);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Counters counters_;
   Configuration configuration_;
-  Settings settings_;
+  SettingsMap settings_;
   Limits limits_;
-  Grammar grammar_;
+  RequestSchema grammar_;
   bool groups_ = false, drain_alone_ = false, stopping_ = false;
   Tenths stopped_at_ = 0, ends_by_ = 0, shortest_goal_ = 0, looked_at_ = 0;
   int losses_ = 0;
-  Choice choice_;
+  LoadBalancer load_balancer_;
   std::unique_ptr<Shadow> shadow_;  // only while the mode is on
-  Relay relay_;
-  Discovery discovery_;
-  Probes probes_;
-  Peers peers_;
-  Chance chance_;
+  ConnectionTable relay_;
+  EndpointDiscovery discovery_;
+  HealthChecker probes_;
+  GossipSocket peers_;
+  RandomGenerator chance_;
   std::map<std::string, double> elsewhere_;  // as last told to the module
   std::vector<Event> events_;
   std::unordered_map<std::string, HeldRequest> held_;
   RequestLedger ledger_;
-  std::map<std::string, HostPlace> places_;  // of the hosts that a list has named
+  std::map<std::string, EndpointLocation> places_;  // of the hosts that a list has named
   std::map<std::string, std::string> addresses_;
-  std::map<std::string, HostState> leaving_;  // hosts announced as leaving: no try's first byte goes there
-  std::map<std::string, Meter> meters_;
+  std::map<std::string, EndpointState>
+      leaving_;  // hosts announced as leaving: no try's first byte goes there
+  std::map<std::string, LatencyEstimator> meters_;
   std::map<std::string, double> near_;  // the hosts of its own zone, and their sizes
-  Loop::Deadline look_, again_, close_up_;
+  EventLoop::Deadline look_, again_, close_up_;
 };
 
 }  // namespace dapplewharf
--- a/src/node/reload.h
+++ b/src/node/reload.h
@@ -10,7 +10,7 @@
 
 class Reloader {
  public:
-  Reloader(Loop& loop, Node& node, const Files& files) : loop_(loop), node_(node), files_(files) {}
+  Reloader(EventLoop& loop, Node& node, const Files& files) : loop_(loop), node_(node), files_(files) {}
   // Reads the files and gives them to the node. Danger: a new place for the list counts as told 4 s after
   // SIGHUP, and a file that is unreadable for a moment would never be looked at again; until `kGivenUpAfter`
   // it is.
@@ -22,10 +22,10 @@
  private:
   void read(Tenths until);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Node& node_;
   const Files& files_;
-  Loop::Deadline again_;
+  EventLoop::Deadline again_;
 };
 
 }  // namespace dapplewharf
--- a/src/node/shadow.cpp
+++ b/src/node/shadow.cpp
@@ -15,17 +15,17 @@
       same, other_host, would_turn, would_try, would_wait, would_move, would_leave, probes, real_probes);
 }
 
-Shadow::Shadow(Settings settings, std::uint64_t seed, Tenths now)
-    : choice_(std::make_unique<Choice>(std::move(settings), seed, now)) {}
+Shadow::Shadow(SettingsMap settings, std::uint64_t seed, Tenths now)
+    : load_balancer_(std::make_unique<LoadBalancer>(std::move(settings), seed, now)) {}
 
-void Shadow::adopt(Settings settings) {
-  if (choice_) {
-    choice_->adopt(std::move(settings));
+void Shadow::update_settings(SettingsMap settings) {
+  if (load_balancer_) {
+    load_balancer_->update_settings(std::move(settings));
   }
 }
 
 void Shadow::follow(Tenths now, const std::vector<Event>& events, const std::vector<Action>& real) {
-  if (!choice_) {
+  if (!load_balancer_) {
     return;
   }
   try {
@@ -60,14 +60,14 @@
   } catch (const std::exception& error) {
     // Danger: a fault in what only watches must not reach the decisions that count.
     why_ = error.what();
-    choice_.reset();
+    load_balancer_.reset();
     followed_.clear();
   }
 }
 
 void Shadow::feed(Tenths now, const std::vector<Event>& events) {
   if (!events.empty()) {
-    took(now, choice_->take(now, events));
+    took(now, load_balancer_->handle_events(now, events));
   }
 }
 
--- a/src/node/shadow.h
+++ b/src/node/shadow.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "choice.h"
+#include "policy/load_balancer.h"
 
 namespace dapplewharf {
 
@@ -30,13 +30,13 @@
  public:
   // Throws std::runtime_error naming a setting that a rule needs and that is missing. Times are tenths of a
   // ms.
-  Shadow(Settings settings, std::uint64_t seed, Tenths now);
+  Shadow(SettingsMap settings, std::uint64_t seed, Tenths now);
 
-  void adopt(Settings settings);  // others from now on
+  void update_settings(SettingsMap settings);  // others from now on
   // A batch of events that the real module has been given, and its answer. Never throws: a module that does
   // is let go, and why() says what it threw.
   void follow(Tenths now, const std::vector<Event>& events, const std::vector<Action>& real);
-  bool off() const { return !choice_; }
+  bool off() const { return !load_balancer_; }
   const std::string& why() const { return why_; }
   const ShadowCounts& counts() const { return counts_; }
   std::size_t followed() const { return followed_.size(); }
@@ -57,7 +57,7 @@
   std::optional<Event> heard(const Event& event);
   void decided(const Action& real, std::vector<Event>& back);
 
-  std::unique_ptr<Choice> choice_;
+  std::unique_ptr<LoadBalancer> load_balancer_;
   std::string why_;
   ShadowCounts counts_;
   std::unordered_map<std::string, Followed> followed_;  // as long as the node holds them
--- a/src/backoff.h
+++ b/src/policy/backoff.h
@@ -6,7 +6,7 @@
 #pragma once
 #include <algorithm>
 
-#include "base/clock.h"
+#include "base/time.h"
 
 namespace dapplewharf {
 
--- a/src/choice.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,16 +1,17 @@
-// The decisions of one dapplewharf node. Callers make one Choice a node and give it batches of events by
-// Choice::take (src/choice.h); events, actions and settings are the plain values of src/words.h.
-// Inside, Roster, Ring, Desk and one Host a host are small actors: each reads notes from its own inbox and
-// speaks to the others only by posting notes; Parts::settle empties the inboxes, always in the same order.
-#include "choice.h"
+// The decisions of one dapplewharf node. Callers make one LoadBalancer a node and give it batches of events
+// by LoadBalancer::handle_events (src/choice.h); events, actions and settings are the plain values of
+// src/words.h. Inside, EndpointSet, EndpointSelector, RequestTable and one Host a host are small actors: each
+// reads notes from its own inbox and speaks to the others only by posting notes; Parts::settle empties the
+// inboxes, always in the same order.
+#include "policy/load_balancer.h"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 #include <utility>
 
-#include "backoff.h"
-#include "notes.h"
+#include "policy/backoff.h"
+#include "policy/notes.h"
 #include "policy/request_ledger.h"
 
 namespace dapplewharf {
@@ -67,7 +68,7 @@
 constexpr Tenths kStrainHeld = 1500 * kMs;   // slow-message notes come each second: one lost is no relief
 
 // One of the two signals of a host: its last results, and whether a run has turned it.
-struct Signal {
+struct HealthSignal {
   std::deque<bool> results;
   bool good = true;
   int run = 0;  // results in a row like the last
@@ -93,7 +94,7 @@
  public:
   Inbox inbox;
 
-  Host(Surroundings& around, std::string id) : around_(around), id_(std::move(id)) {
+  Host(PolicyContext& around, std::string id) : around_(around), id_(std::move(id)) {
     next_probe_ =
         around_.now + static_cast<Tenths>(around_.chance.share() * probe_interval(kProbeEvery, kProbeShared));
   }
@@ -107,7 +108,7 @@
         listed(note.listing, note.fresh, note.held);
         break;
       case Topic::unlisted:
-        leaves(HostState::gone);
+        leaves(EndpointState::removed);
         break;
       case Topic::pulse:
         climb(), probe(), relieve();
@@ -125,7 +126,7 @@
   }
 
  private:
-  void listed(const Listing& listing, bool fresh, double held) {
+  void listed(const EndpointEntry& listing, bool fresh, double held) {
     const bool restarted = listing.started > started_ && known_;
     card_.zone = listing.zone;
     card_.cell = listing.cell, card_.kind = listing.kind;
@@ -134,13 +135,13 @@
       card_.elsewhere = std::max(0.0, held - card_.open);
     }
     started_ = listing.started;
-    if (listing.state != HostState::healthy) {
+    if (listing.state != EndpointState::healthy) {
       return leaves(listing.state);
     }
-    state_ = HostState::healthy, claimed_gone_ = false;
+    state_ = EndpointState::healthy, claimed_gone_ = false;
     if (fresh || restarted || (!known_ && cold())) {  // danger: a cold host at full weight falls over
       step_ = 0, step_since_ = around_.now;
-      probes_ = setups_ = Signal();
+      probes_ = setups_ = HealthSignal();
       inherited_ = known_ ? 100 : fleet_.score;
       around_.log("host " + id_ + " starts cold, age ms " + std::to_string((around_.now - started_) / kMs));
     }
@@ -149,20 +150,23 @@
 
   // Danger: a list that is wrong takes hosts away that still serve all that stands there. Where only a drain
   // binds, one called gone without a drain is taken for what its probes say; the first one is due at once.
-  void leaves(HostState state) {
-    if (state == HostState::gone && state_ == HostState::healthy && around_.rules.drain_binds_alone) {
+  void leaves(EndpointState state) {
+    if (state == EndpointState::removed && state_ == EndpointState::healthy &&
+        around_.rules.drain_binds_alone) {
       if (claimed_gone_) {
         return;
       }
       claimed_gone_ = true, next_probe_ = around_.now;
       return around_.log("host " + id_ + " is called gone, its probes decide");
     }
-    if (state_ == HostState::healthy) {
+    if (state_ == EndpointState::healthy) {
       left_at_ = around_.now;
     }
     state_ = state;
   }
-  bool in_service() const { return state_ == HostState::healthy && !(claimed_gone_ && probes_.in_doubt()); }
+  bool in_service() const {
+    return state_ == EndpointState::healthy && !(claimed_gone_ && probes_.in_doubt());
+  }
 
   Tenths age() const {
     return started_ > 0 ? around_.now - started_ : static_cast<Tenths>(around_.rules.cold_time);
@@ -172,10 +176,10 @@
 
   // The one place that decides whether this host may be sent this attachment.
   bool may_be_sent(const Event& attachment) const {
-    if (state_ != HostState::healthy) {
+    if (state_ != EndpointState::healthy) {
       // A mid-flow connection may be held here; without proof of that only the grace allows it.
       const bool in_grace = around_.now - left_at_ < around_.rules.drain_grace - kPulse;
-      return state_ == HostState::draining && attachment.mid_flow && in_grace;
+      return state_ == EndpointState::draining && attachment.mid_flow && in_grace;
     }
     if (!in_service()) {
       return false;
@@ -306,7 +310,7 @@
     load_ = card_.load = told ? event.report[static_cast<std::size_t>(at)] : -1;
     card_.roomy = told && load_ < kFull ? around_.now + kProbeEvery : 0;
     for (Note& note : std::exchange(waiting_, {})) {
-      if (event.outcome != Outcome::honoured) {
+      if (event.outcome != Outcome::succeeded) {
         ++note.looks;
       } else {
         --note.asked;  // asked once more
@@ -340,10 +344,10 @@
         if (event.outcome == Outcome::not_sent) {
           break;
         }
-        silent_ = event.outcome == Outcome::no_answer || event.outcome == Outcome::no_connection;
-        result(probes_, event.outcome == Outcome::honoured);
+        silent_ = event.outcome == Outcome::timed_out || event.outcome == Outcome::connect_failed;
+        result(probes_, event.outcome == Outcome::succeeded);
         // Danger: a host without set-ups is never heard well of again. Then good probes count for them too.
-        if (event.outcome == Outcome::honoured && around_.now - setup_at_ > kQuiet && setups_.share() < 1) {
+        if (event.outcome == Outcome::succeeded && around_.now - setup_at_ > kQuiet && setups_.share() < 1) {
           result(setups_, true);
         }
         break;
@@ -353,11 +357,11 @@
   }
 
   void ended(const Event& event, bool standing) {
-    if (standing && event.outcome == Outcome::lost) {
+    if (standing && event.outcome == Outcome::connection_lost) {
       shed_at_ = around_.now;
     }
     card_.open = std::max(0, card_.open - 1);
-    if (event.outcome == Outcome::honoured || event.outcome == Outcome::cancelled ||
+    if (event.outcome == Outcome::succeeded || event.outcome == Outcome::cancelled ||
         event.outcome == Outcome::not_sent || event.outcome == Outcome::withdrawn) {
       return;  // says nothing of the host
     }
@@ -414,7 +418,7 @@
                                  : ", message ms " + figure(delay_ / kMs)));
   }
 
-  void result(Signal& signal, bool good) {
+  void result(HealthSignal& signal, bool good) {
     const bool turned = signal.add(good);
     if (!good) {
       next_probe_ = std::min(next_probe_, around_.now + probe_interval(kProbeHurry, kHurryShared) / 2);
@@ -462,7 +466,7 @@
   }
 
   bool may_be_probed() const {
-    return around_.rules.probes_allowed && state_ == HostState::healthy && !probe_out_;
+    return around_.rules.probes_allowed && state_ == EndpointState::healthy && !probe_out_;
   }
 
   // Danger: probes of many nodes add up to more work than the attachments; they share one rate a host.
@@ -506,18 +510,18 @@
     around_.write(Part::ring, Topic::card, id_).card = card_;
   }
 
-  Surroundings& around_;
+  PolicyContext& around_;
   std::string id_;
-  Card card_;
-  std::optional<Card> told_;  // the card as last sent round
-  Fleet fleet_;
-  HostState state_ = HostState::gone;
+  EndpointStatus card_;
+  std::optional<EndpointStatus> told_;  // the card as last sent round
+  FleetStatistics fleet_;
+  EndpointState state_ = EndpointState::removed;
   bool known_ = false, probe_out_ = false;
   bool claimed_gone_ = false;  // the list says so, and it does not bind
   bool silent_ = false;        // the last probe had no answer at all
   Tenths started_ = 0, left_at_ = 0, next_probe_ = 0, step_since_ = 0, strained_at_ = 0, shed_at_ = 0,
          relief_since_ = 0;
-  Signal probes_, setups_;
+  HealthSignal probes_, setups_;
   int step_ = kTop;
   double delay_ = 0;  // of a message, as last told
   Tenths next_relief_ = 0, setup_at_ = 0, cap_at_ = 0;
@@ -531,10 +535,10 @@
 };
 
 // Follows the list and says when the weights are frozen.
-class Roster {
+class EndpointSet {
  public:
   Inbox inbox;
-  explicit Roster(Surroundings& around) : around_(around) {}
+  explicit EndpointSet(PolicyContext& around) : around_(around) {}
 
   void read(const Note& note) {
     if (note.topic == Topic::card) {
@@ -551,7 +555,7 @@
       if (note.hosts.empty()) {
         keep_last(came_, around_.now, kTimes);
       }
-      Fleet fleet = figures();
+      FleetStatistics fleet = figures();
       if (note.event.group) {
         for (const auto& [when, group] : sought_) {
           fleet.sought_alike += group == note.event.group;
@@ -579,8 +583,8 @@
       losses_ = 0, lost_at_ = 0;
     }
     std::set<std::string> named;
-    const Fleet fleet = figures();
-    for (const Listing& listing : event.listings) {
+    const FleetStatistics fleet = figures();
+    for (const EndpointEntry& listing : event.listings) {
       named.insert(listing.host);
       Note& note = around_.write(Part::host, Topic::listed, listing.host);
       note.listing = listing;
@@ -635,8 +639,8 @@
     around_.act(ActionKind::subscribe, "", "");
   }
 
-  void heard(const std::string& host, const Card& card) {
-    Card& known = cards_[host];
+  void heard(const std::string& host, const EndpointStatus& card) {
+    EndpointStatus& known = cards_[host];
     if (known.healthy != card.healthy || degraded(known) != degraded(card)) {
       to_check_ = true;
     }
@@ -654,7 +658,7 @@
     return lost_at_ > 0 ? lost_at_ + kListSilent + static_cast<Tenths>(in_turn) + 1 : kNever;
   }
   bool silent() const { return around_.now >= silent_from(); }
-  bool degraded(const Card& card) const { return card.score < 75 && around_.now >= card.cold; }
+  bool degraded(const EndpointStatus& card) const { return card.score < 75 && around_.now >= card.cold; }
 
   void set_alarm() {  // one stands for whatever is due first
     Tenths due = due_.empty() ? kNever : due_.begin()->first;
@@ -684,15 +688,15 @@
       all.part = static_cast<double>(around_.now - stopped_at_ - kFrontStops) / kSecond;
       all.fleet.spare = INT32_MAX;
     }
-    const Fleet fleet = figures();
+    const FleetStatistics fleet = figures();
     for (auto at = due_.begin(); at != due_.end() && at->first <= around_.now; ++at) {
       around_.write(Part::host, Topic::pulse, at->second).fleet = fleet;
     }
   }
 
   // Worked out from what the hosts last told, when somebody needs it.
-  Fleet figures() {
-    Fleet fleet;
+  FleetStatistics figures() {
+    FleetStatistics fleet;
     std::map<std::string, std::pair<double, double>> kinds;  // open connections and size, of warm hosts
     double scores = 0;
     double open = 0;
@@ -806,8 +810,8 @@
     return fleet;
   }
 
-  Surroundings& around_;
-  std::map<std::string, Card> cards_;
+  PolicyContext& around_;
+  std::map<std::string, EndpointStatus> cards_;
   std::set<std::string> listed_;
   std::map<std::string, double> largest_;  // size of each kind of machine, where weights move
   std::set<std::pair<Tenths, std::string>> due_;
@@ -822,10 +826,10 @@
 };
 
 // The consistent hash ring: says in which order hosts are asked to take an attachment.
-class Ring {
+class EndpointSelector {
  public:
   Inbox inbox;
-  explicit Ring(Surroundings& around) : around_(around) {}
+  explicit EndpointSelector(PolicyContext& around) : around_(around) {}
 
   void read(const Note& note) {
     if (note.topic == Topic::fleet) {
@@ -853,7 +857,7 @@
   }
 
  private:
-  static int points_of(const Card& card) {
+  static int points_of(const EndpointStatus& card) {
     return std::max(1, static_cast<int>(std::lround(kPoints * card.size)));
   }
 
@@ -877,13 +881,13 @@
     }
     std::vector<std::pair<int, const std::string*>> ranked;  // rank, then the order of the ring
     std::size_t good = 0;
-    const auto taken = [&](const Card& card) {  // so many of its points are its own
+    const auto taken = [&](const EndpointStatus& card) {  // so many of its points are its own
       return static_cast<int>(std::lround((seek.event.mid_flow ? 1 : card.weight) * points_of(card)));
     };
     const bool crowd = seek.fleet.crowd_limit > 0;
     const int parts = seek.fleet.alone ? 1 + static_cast<int>(seek.members / seek.fleet.each) : 1;
     const int part = parts > 1 ? static_cast<int>(around_.chance.share() * parts) : 0;
-    circle_.walk(key_of(seek.event, part), taken, [&](const std::string& id, const Card& card) {
+    circle_.walk(key_of(seek.event, part), taken, [&](const std::string& id, const EndpointStatus& card) {
       const bool fits = seek.host.empty() || drops_repeats(seek, card);
       // Danger: a host that drops connections is over its end; more are dropped too and come again at once.
       const bool over = std::max(card.shedding, card.late) > around_.now;
@@ -924,7 +928,7 @@
   }
 
   // Danger: a repeat outside the group that knows the mark takes effect a second time.
-  bool drops_repeats(const Note& seek, const Card& card) const {
+  bool drops_repeats(const Note& seek, const EndpointStatus& card) const {
     const auto first = cards_.find(seek.host);
     if (seek.within == "all" || first == cards_.end()) {
       return seek.within == "all";
@@ -933,7 +937,7 @@
   }
 
   // Lower is asked earlier; within one rank the ring decides.
-  int rank(const Note& seek, const std::string& id, const Card& card) const {
+  int rank(const Note& seek, const std::string& id, const EndpointStatus& card) const {
     // Danger: each zone's nodes gather a group on hosts of their own, and each pays more than its connections
     // weigh. While room counts the ring is the same for all; where crossing is dear only when it is short.
     // Where hosts report no load nobody sees room run out, and scattered groups are not brought together
@@ -969,18 +973,18 @@
     return over || full ? 5 : 4;
   }
 
-  Surroundings& around_;
-  std::map<std::string, Card> cards_;
+  PolicyContext& around_;
+  std::map<std::string, EndpointStatus> cards_;
   std::map<std::string, double> told_;  // weights told while frozen: they hold from the thaw on
-  Circle circle_;
+  HashRing circle_;
   bool stale_ = true, frozen_ = false;
 };
 
 // Holds the attachments: their tries, their expiry and their one final answer.
-class Desk {
+class RequestTable {
  public:
   Inbox inbox;
-  explicit Desk(Surroundings& around) : around_(around) {}
+  explicit RequestTable(PolicyContext& around) : around_(around) {}
 
   void read(const Note& note) {
     switch (note.topic) {
@@ -1009,7 +1013,7 @@
     if (found == held_.end() || !found->second.answered) {
       return;
     }
-    for (const Try& made : found->second.tries) {
+    for (const Attempt& made : found->second.tries) {
       if (made.out) {
         return;
       }
@@ -1017,7 +1021,7 @@
     held_.erase(found);
   }
 
-  double of_type(const Attachment& held, const char* name, double otherwise) const {
+  double of_type(const Request& held, const char* name, double otherwise) const {
     const std::string at = entry(around_.settings, "traffic.", held.event.traffic_type);
     return at.empty() ? otherwise : number(around_.settings, at + name, otherwise);
   }
@@ -1036,7 +1040,7 @@
     if (found == held_.end()) {
       return;
     }
-    Attachment& held = found->second;
+    Request& held = found->second;
     switch (event.kind) {
       case EventKind::established:
         stands(held, event);
@@ -1067,7 +1071,7 @@
   }
 
   void arrives(const Event& event) {
-    Attachment held;
+    Request held;
     held.event = event;
     const std::string at = entry(around_.settings, "traffic.", event.traffic_type);
     held.effect = at.empty() ? "unrepeatable" : text(around_.settings, at + "effect");
@@ -1088,7 +1092,7 @@
     seek(held_[event.id]);
   }
 
-  void stands(Attachment& held, const Event& event) {
+  void stands(Request& held, const Event& event) {
     held.pending = false;
     if (!std::exchange(held.standing, true)) {
       --out_;  // a connection from before was no try of this node
@@ -1130,15 +1134,15 @@
   }
   bool limited() const { return cut_at_ > 0 && around_.now - cut_at_ < kTroubleHeld; }
 
-  void ended(Attachment& held, const Event& event) {
+  void ended(Request& held, const Event& event) {
     if (event.number < 0 || event.number >= static_cast<int>(held.tries.size())) {
       return;
     }
-    Try& last = held.tries[static_cast<std::size_t>(event.number)];
+    Attempt& last = held.tries[static_cast<std::size_t>(event.number)];
     if (!std::exchange(last.out, false)) {
       return;
     }
-    last.may_have_run = event.outcome != Outcome::turned_away && event.outcome != Outcome::no_connection &&
+    last.may_have_run = event.outcome != Outcome::rejected && event.outcome != Outcome::connect_failed &&
                         event.outcome != Outcome::not_sent;
     Event told = event;
     // Danger: a host that leaves while its connection comes up would cost the attachment one of its tries.
@@ -1154,7 +1158,7 @@
       --out_;
       // Danger: a host that takes no connection is down by itself, whatever stands behind the others.
       if (event.outcome != Outcome::cancelled && event.outcome != Outcome::not_sent &&
-          event.outcome != Outcome::no_connection) {
+          event.outcome != Outcome::connect_failed) {
         learn(last.host, false);
         if (behind_all()) {
           told.outcome = Outcome::cancelled;
@@ -1197,21 +1201,21 @@
     }
   }
 
-  void move(Attachment& held) {
+  void move(Request& held) {
     held.answered = true;  // the client comes again as a new attachment
     around_.act(ActionKind::move, held.event.id, held.tries.back().host);
     moved_.push_back(around_.now);
   }
 
   // The one place that decides whether an attachment may have another setup try.
-  bool may_be_tried_again(const Attachment& held) const {
+  bool may_be_tried_again(const Request& held) const {
     if (held.answered || held.standing || around_.now >= held.event.expiry) {
       return false;
     }
     if (static_cast<double>(held.tries.size()) >= around_.rules.max_tries) {
       return false;
     }
-    for (const Try& earlier : held.tries) {
+    for (const Attempt& earlier : held.tries) {
       if (earlier.out) {
         return false;  // danger: two out; a cancelled one is out until its result has come
       }
@@ -1248,11 +1252,11 @@
   }
 
   // The one place that decides whether an attachment may be rejected: that says that a repeat is harmless.
-  bool may_be_rejected(const Attachment& held) const {
+  bool may_be_rejected(const Request& held) const {
     if (held.effect == "idempotent") {
       return true;
     }
-    for (const Try& earlier : held.tries) {
+    for (const Attempt& earlier : held.tries) {
       if ((earlier.out || earlier.may_have_run) && !(held.effect == "deduplicated" && held.group == "all")) {
         return false;
       }
@@ -1261,7 +1265,7 @@
   }
 
   // Fairness: what lies beyond a tenant's share gives way first, and only while room is short.
-  bool beyond_share(const Attachment& held) const {
+  bool beyond_share(const Request& held) const {
     const std::string at = entry(around_.settings, "tenant.", held.event.tenant);
     const double share = at.empty() ? 0 : number(around_.settings, at + "open", 0) / around_.rules.nodes;
     double open = 0;
@@ -1273,7 +1277,7 @@
     return share > 0 && open + 1 >= share + kOverBy;  // danger: a share under one shuts its tenant out
   }
 
-  void seek(Attachment& held) {
+  void seek(Request& held) {
     if (!may_be_tried_again(held) || (limited() && out_ >= window_)) {
       return give_up(held);
     }
@@ -1289,7 +1293,7 @@
         }
       }
     }
-    for (const Try& earlier : held.tries) {
+    for (const Attempt& earlier : held.tries) {
       note.hosts.push_back(earlier.host);
       if (held.effect == "deduplicated" && earlier.may_have_run) {
         note.host = earlier.host;
@@ -1305,7 +1309,7 @@
     if (found == held_.end() || found->second.answered) {
       return;
     }
-    Attachment& held = found->second;
+    Request& held = found->second;
     const bool crowd = route.fleet.crowd_limit > 0;
     const bool gives_way = route.topic == Topic::route && crowd && beyond_share(held);
     const bool none = route.asked >= route.order->size();
@@ -1320,7 +1324,7 @@
   }
 
   void send(const std::string& id, const std::string& host) {
-    Attachment& held = held_[id];
+    Request& held = held_[id];
     if (!held.tries.empty()) {
       if (!budget_allows()) {  // spent since it was sought: the host has counted it, and counts it out again
         Event unsent;
@@ -1336,7 +1340,7 @@
   }
 
   // A try that hangs must leave time for another within the latency goal; the last one may use all of it.
-  Tenths time_out(const Attachment& held) const {
+  Tenths time_out(const Request& held) const {
     const Tenths left = held.event.expiry - around_.now;
     if (static_cast<double>(held.tries.size()) >= around_.rules.max_tries) {
       return left;
@@ -1353,7 +1357,7 @@
     return std::clamp<Tenths>(std::max(goal / 3, 3 * usual), 1, std::max<Tenths>(left, 1));
   }
 
-  void give_up(Attachment& held) {
+  void give_up(Request& held) {
     if (std::exchange(held.answered, true)) {
       return;
     }
@@ -1367,8 +1371,8 @@
     around_.act(ActionKind::reject, id, "", 0, static_cast<Tenths>(most * share));
   }
 
-  Surroundings& around_;
-  std::map<std::string, Attachment> held_;
+  PolicyContext& around_;
+  std::map<std::string, Request> held_;
   std::map<std::string, std::pair<Tenths, bool>>
       lately_;         // each host's last set-up of this second: when, good
   double window_ = 1;  // set-ups that may be out while they go wrong everywhere
@@ -1382,16 +1386,16 @@
 
 }  // namespace
 
-struct Choice::Parts {
-  Surroundings around;
-  Roster roster;
-  Ring ring;
-  Desk desk;
+struct LoadBalancer::Parts {
+  PolicyContext around;
+  EndpointSet roster;
+  EndpointSelector ring;
+  RequestTable desk;
   std::map<std::string, Host> hosts;
   std::vector<std::pair<const std::string, Host>*> stirred;  // hosts with notes in their inbox
 
-  Parts(const Settings& settings, std::uint64_t seed, Tenths now)
-      : around{settings, Rules(settings), Chance(seed), now, {}, {}},
+  Parts(const SettingsMap& settings, std::uint64_t seed, Tenths now)
+      : around{settings, Rules(settings), RandomGenerator(seed), now, {}, {}},
         roster(around),
         ring(around),
         desk(around) {}
@@ -1464,15 +1468,15 @@
   }
 };
 
-Choice::Choice(Settings settings, std::uint64_t seed, Tenths now)
+LoadBalancer::LoadBalancer(SettingsMap settings, std::uint64_t seed, Tenths now)
     : parts_(std::make_unique<Parts>(settings, seed, now)) {}
-Choice::~Choice() = default;
-void Choice::adopt(Settings settings) {
+LoadBalancer::~LoadBalancer() = default;
+void LoadBalancer::update_settings(SettingsMap settings) {
   parts_->around.rules = Rules(settings);
   parts_->around.settings = std::move(settings);
 }
 
-std::vector<Action> Choice::take(Tenths now, const std::vector<Event>& events) {
+std::vector<Action> LoadBalancer::handle_events(Tenths now, const std::vector<Event>& events) {
   parts_->around.now = std::max(now, parts_->around.now);
   for (const Event& event : events) {
     parts_->deliver(event);
--- a/src/notes.h
+++ b/src/policy/notes.h
@@ -9,18 +9,18 @@
 #include <tuple>
 #include <utility>
 
-#include "chance.h"
-#include "words.h"
+#include "base/random.h"
+#include "policy/words.h"
 
 namespace dapplewharf {
 
-inline double number(const Settings& settings, const std::string& name, double otherwise) {
+inline double number(const SettingsMap& settings, const std::string& name, double otherwise) {
   const auto found = settings.find(name);
   const double* value = found == settings.end() ? nullptr : std::get_if<double>(&found->second);
   return value ? *value : otherwise;
 }
 
-inline double needed(const Settings& settings, const std::string& name) {
+inline double needed(const SettingsMap& settings, const std::string& name) {
   const auto found = settings.find(name);
   const double* value = found == settings.end() ? nullptr : std::get_if<double>(&found->second);
   if (!value) {
@@ -29,14 +29,14 @@
   return *value;
 }
 
-inline std::string text(const Settings& settings, const std::string& name) {
+inline std::string text(const SettingsMap& settings, const std::string& name) {
   const auto found = settings.find(name);
   const std::string* value = found == settings.end() ? nullptr : std::get_if<std::string>(&found->second);
   return value ? *value : std::string();
 }
 
 // The largest (sign 1) or smallest (sign -1) of a figure that each one of a list of settings has.
-inline double extreme(const Settings& settings, const std::string& list, const std::string& name, int sign,
+inline double extreme(const SettingsMap& settings, const std::string& list, const std::string& name, int sign,
                       double otherwise) {
   const std::string first = list + "0" + name;
   if (!settings.count(first)) {
@@ -50,7 +50,7 @@
 }
 
 // The sum of a figure that each one of a list of settings has.
-inline double total(const Settings& settings, const std::string& list, const std::string& name) {
+inline double total(const SettingsMap& settings, const std::string& list, const std::string& name) {
   double sum = 0;
   for (int i = 0; settings.count(list + std::to_string(i) + name); ++i) {
     sum += number(settings, list + std::to_string(i) + name, 0);
@@ -59,7 +59,7 @@
 }
 
 // The prefix of the settings of the one that bears this name in a list of settings; empty if none does.
-inline std::string entry(const Settings& settings, const std::string& list, const std::string& name) {
+inline std::string entry(const SettingsMap& settings, const std::string& list, const std::string& name) {
   for (int i = 0;; ++i) {
     const std::string prefix = list + std::to_string(i) + ".";
     if (!settings.count(prefix + "name")) {
@@ -93,7 +93,7 @@
   double further_least, further_share, further_span;  // tries beyond an attachment's first; span 0: no limit
   bool probes_allowed, drain_binds_alone, live_weights, on_request;
   std::string zone;
-  explicit Rules(const Settings& from)
+  explicit Rules(const SettingsMap& from)
       : nodes(std::max(1.0, number(from, "nodes", 1))),
         me(number(from, "me", 0)),
         cold_from(needed(from, "cold_from")),
@@ -121,7 +121,7 @@
 };
 
 // What a host tells the others of itself.
-struct Card {
+struct EndpointStatus {
   std::string zone, kind;
   std::int64_t cell = 0;
   double size = 1;
@@ -137,11 +137,11 @@
   Tenths roomy = 0;       // as telling of room,
   Tenths cold = 0;        // and as cold
   Tenths due = 0;         // when it wants to be woken
-  bool operator==(const Card&) const = default;
+  bool operator==(const EndpointStatus&) const = default;
 };
 
 // What the roster tells everyone of the fleet.
-struct Fleet {
+struct FleetStatistics {
   bool frozen = false;
   double score = 100;       // mean of the others, where a new host starts
   double crowd_limit = 0;   // new connections a second that a host takes, of the mean; 0: no limit
@@ -168,9 +168,9 @@
   Topic topic = Topic::event;
   std::string host;  // which host it goes to, or is about
   Event event;       // the event that it hands on, if any; its id names the attachment
-  Listing listing;
-  Card card;
-  Fleet fleet;
+  EndpointEntry listing;
+  EndpointStatus card;
+  FleetStatistics fleet;
   std::vector<std::string> hosts;                         // of a seek: those tried already
   std::shared_ptr<const std::vector<std::string>> order;  // of a route: the hosts, as they are to be asked,
   std::size_t asked = 0;                                  // and how many of them were
@@ -187,27 +187,27 @@
 };
 
 // What the desk keeps of an attachment, and the ring of its points.
-struct Try {
+struct Attempt {
   std::string host;
   Tenths sent = 0;
   bool out = true;  // its result has not come
   bool may_have_run = true;
 };
-struct Attachment {
+struct Request {
   Event event;
   std::string effect, group;
-  std::vector<Try> tries;
+  std::vector<Attempt> tries;
   bool standing = false;  // the connection is open
   bool answered = false;  // ended; kept until its last try's result has come
   bool pending = false;   // handed over, and not up again yet
 };
 
 // The points of the hosts in the order of the ring.
-class Circle {
+class HashRing {
  public:
   // Only hosts that are new or of another size are laid anew; a growing fleet would be sorted over and over.
   template <class Points>
-  void lay(const std::map<std::string, Card>& cards, Points points_of) {
+  void lay(const std::map<std::string, EndpointStatus>& cards, Points points_of) {
     std::set<std::string> laid;
     std::vector<std::uint32_t> free;
     for (std::uint32_t i = 0; i < places_.size(); ++i) {
@@ -271,7 +271,7 @@
   static constexpr int kUnseen = -1;
   struct Place {
     std::string id;
-    const Card* card = nullptr;  // of the map that was laid; null: free
+    const EndpointStatus* card = nullptr;  // of the map that was laid; null: free
     int points = 0;
   };
   struct Point {
@@ -309,10 +309,10 @@
   std::size_t used_ = 0, sorted_ = 0;
 };
 
-struct Surroundings {  // what every part may use: the clock, settings, chance, the post and the way out
-  Settings settings;
+struct PolicyContext {  // what every part may use: the clock, settings, chance, the post and the way out
+  SettingsMap settings;
   Rules rules;
-  Chance chance;
+  RandomGenerator chance;
   Tenths now;
   std::vector<Action> actions;
   Post post;
--- a/src/policy/reattach.h
+++ b/src/policy/reconnect_policy.h
@@ -7,11 +7,11 @@
 #include <algorithm>
 #include <optional>
 
-#include "base/clock.h"
+#include "base/time.h"
 
 namespace dapplewharf {
 
-class Reattach {
+class ReconnectPolicy {
  public:
   // Protocol page: a connection from before the run that is not up after this is lost.
   static constexpr Tenths kAllowed = 40 * kSecond;
@@ -25,7 +25,7 @@
   // is on its way comes sooner.
   static constexpr Tenths kUnlisted = 2 * kSecond;
 
-  Reattach(Tenths begun, Tenths client_waits)
+  ReconnectPolicy(Tenths begun, Tenths client_waits)
       : until_(begun + std::min(client_waits, kAllowed)), begun_(begun) {}
 
   Tenths until() const { return until_; }
--- a/src/policy/request_ledger.cpp
+++ b/src/policy/request_ledger.cpp
@@ -4,23 +4,23 @@
 
 namespace dapplewharf {
 
-const char* name_of(Refusal refusal) {
+const char* name_of(Violation refusal) {
   switch (refusal) {
-    case Refusal::none:
+    case Violation::none:
       return "none";
-    case Refusal::unknown_request:
+    case Violation::unknown_request:
       return "unknown request";
-    case Refusal::already_answered:
+    case Violation::already_answered:
       return "already answered";
-    case Refusal::client_gone:
+    case Violation::client_gone:
       return "client gone";
-    case Refusal::past_deadline:
+    case Violation::past_deadline:
       return "past its deadline";
-    case Refusal::attempt_out:
+    case Violation::attempt_out:
       return "another attempt is out";
-    case Refusal::effect_may_repeat:
+    case Violation::effect_may_repeat:
       return "an earlier attempt may have run";
-    case Refusal::host_is_leaving:
+    case Violation::host_is_leaving:
       return "its host is leaving";
   }
   return "unknown";
@@ -42,85 +42,85 @@
   }
 }
 
-bool RequestLedger::repeat_is_dropped(const RepeatRule& rule, const Attempt& earlier, const HostPlace& to,
-                                      Tenths now) {
-  if (rule.effect == Effect::idempotent) {
+bool RequestLedger::repeat_is_dropped(const RepeatRule& rule, const Attempt& earlier,
+                                      const EndpointLocation& to, Tenths now) {
+  if (rule.effect == Idempotency::idempotent) {
     return true;
   }
-  if (rule.effect == Effect::unrepeatable || now - earlier.since + kRepeatMargin >= rule.window) {
+  if (rule.effect == Idempotency::non_idempotent || now - earlier.since + kRepeatMargin >= rule.window) {
     return false;
   }
   if (earlier.to.host == to.host) {
     return true;
   }
   switch (rule.group) {
-    case RepeatGroup::all:
+    case DeduplicationScope::all:
       return true;
-    case RepeatGroup::zone:
+    case DeduplicationScope::zone:
       return earlier.to.zone == to.zone;
-    case RepeatGroup::cell:
+    case DeduplicationScope::cell:
       return earlier.to.cell == to.cell;
   }
   return false;
 }
 
-Refusal RequestLedger::may_begin(const std::string& id, const HostPlace& to, bool allowed_by_list,
-                                 Tenths now) const {
+Violation RequestLedger::may_begin(const std::string& id, const EndpointLocation& to, bool allowed_by_list,
+                                   Tenths now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
-    return Refusal::unknown_request;
+    return Violation::unknown_request;
   }
   const Request& request = found->second;
   if (request.client_gone) {
-    return Refusal::client_gone;
+    return Violation::client_gone;
   }
   if (request.answered) {
-    return Refusal::already_answered;
+    return Violation::already_answered;
   }
   if (now >= request.deadline) {
-    return Refusal::past_deadline;
+    return Violation::past_deadline;
   }
-  if (const Refusal refusal = effect_allows(request, request.attempts.size(), to, now);
-      refusal != Refusal::none) {
+  if (const Violation refusal = effect_allows(request, request.attempts.size(), to, now);
+      refusal != Violation::none) {
     return refusal;
   }
-  return allowed_by_list ? Refusal::none : Refusal::host_is_leaving;
+  return allowed_by_list ? Violation::none : Violation::host_is_leaving;
 }
 
 // Whether the first so many attempts let another one run.
-Refusal RequestLedger::effect_allows(const Request& request, std::size_t attempts, const HostPlace& to,
-                                     Tenths now) {
+Violation RequestLedger::effect_allows(const Request& request, std::size_t attempts,
+                                       const EndpointLocation& to, Tenths now) {
   for (std::size_t i = 0; i < attempts; ++i) {
     const Attempt& earlier = request.attempts[i];
     if (earlier.out) {
-      return Refusal::attempt_out;
+      return Violation::attempt_out;
     }
     if (earlier.may_have_run && !repeat_is_dropped(request.rule, earlier, to, now)) {
-      return Refusal::effect_may_repeat;
+      return Violation::effect_may_repeat;
     }
   }
-  return Refusal::none;
+  return Violation::none;
 }
 
-Refusal RequestLedger::may_send(const std::string& id, bool allowed_by_list, Tenths now) const {
+Violation RequestLedger::may_send(const std::string& id, bool allowed_by_list, Tenths now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.attempts.empty()) {
-    return Refusal::unknown_request;
+    return Violation::unknown_request;
   }
   const Request& request = found->second;
   if (request.client_gone) {
-    return Refusal::client_gone;
+    return Violation::client_gone;
   }
   if (request.answered) {
-    return Refusal::already_answered;
+    return Violation::already_answered;
   }
   if (!allowed_by_list) {
-    return Refusal::host_is_leaving;
+    return Violation::host_is_leaving;
   }
   return effect_allows(request, request.attempts.size() - 1, request.attempts.back().to, now);
 }
 
-void RequestLedger::begun(const std::string& id, const HostPlace& to, Tenths now) {
+void RequestLedger::begun(const std::string& id, const EndpointLocation& to, Tenths now) {
   if (const auto found = requests_.find(id); found != requests_.end()) {
     found->second.attempts.push_back({to, now, true, true});
   }
@@ -135,30 +135,30 @@
   found->second.attempts.back().may_have_run = may_have_run;
 }
 
-Refusal RequestLedger::may_answer(const std::string& id, FinalAnswer answer) const {
+Violation RequestLedger::may_answer(const std::string& id, FinalAnswer answer) const {
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
-    return Refusal::unknown_request;
+    return Violation::unknown_request;
   }
   const Request& request = found->second;
   if (request.client_gone) {
-    return Refusal::client_gone;
+    return Violation::client_gone;
   }
   // A connection that stands has been answered with UP and may still be told to move.
   if (request.answered && answer != FinalAnswer::move) {
-    return Refusal::already_answered;
+    return Violation::already_answered;
   }
-  if (answer != FinalAnswer::busy || request.rule.effect == Effect::idempotent) {
-    return Refusal::none;
+  if (answer != FinalAnswer::busy || request.rule.effect == Idempotency::idempotent) {
+    return Violation::none;
   }
   const bool dropped_anywhere =
-      request.rule.effect == Effect::deduplicated && request.rule.group == RepeatGroup::all;
+      request.rule.effect == Idempotency::deduplicated && request.rule.group == DeduplicationScope::all;
   for (const Attempt& earlier : request.attempts) {
     if ((earlier.out || earlier.may_have_run) && !dropped_anywhere) {
-      return Refusal::effect_may_repeat;
+      return Violation::effect_may_repeat;
     }
   }
-  return Refusal::none;
+  return Violation::none;
 }
 
 void RequestLedger::answered(const std::string& id) {
--- a/src/policy/request_ledger.h
+++ b/src/policy/request_ledger.h
@@ -1,15 +1,15 @@
 // What this node has done with each request that it holds, and the one place that says whether an attempt may
-// begin, a final answer may go out or a request may be closed now. It stands behind the decisions (Choice,
-// Reattach) and checks them against the four rules on their way to the sockets: what it refuses is not done,
-// is counted as a violation and told, with the reason. Owns the record of attempts by request id; pure, with
-// the caller's clock in tenths of a millisecond.
+// begin, a final answer may go out or a request may be closed now. It stands behind the decisions
+// (LoadBalancer, ReconnectPolicy) and checks them against the four rules on their way to the sockets: what it
+// refuses is not done, is counted as a violation and told, with the reason. Owns the record of attempts by
+// request id; pure, with the caller's clock in tenths of a millisecond.
 #pragma once
 #include <cstdint>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
-#include "base/clock.h"
+#include "base/time.h"
 
 namespace dapplewharf {
 
@@ -17,25 +17,25 @@
 // writes takes a moment to arrive: a repeat has to begin so long before its window ends.
 inline constexpr Tenths kRepeatMargin = 200 * kMs;
 
-enum class Effect { idempotent, deduplicated, unrepeatable };
-enum class RepeatGroup { all, zone, cell };
+enum class Idempotency { idempotent, deduplicated, non_idempotent };
+enum class DeduplicationScope { all, zone, cell };
 
 // What a traffic type's settings say about repeats.
 struct RepeatRule {
-  Effect effect = Effect::unrepeatable;
-  RepeatGroup group = RepeatGroup::all;
+  Idempotency effect = Idempotency::non_idempotent;
+  DeduplicationScope group = DeduplicationScope::all;
   Tenths window = 0;  // within which a repeat inside the group is dropped
 };
 
 // Where a host stands, as far as repeats inside a group are concerned.
-struct HostPlace {
+struct EndpointLocation {
   std::string host, zone;
   std::int64_t cell = 0;
 };
 
 enum class FinalAnswer { up, busy, error, move };
 
-enum class Refusal {
+enum class Violation {
   none,
   unknown_request,
   already_answered,
@@ -45,7 +45,7 @@
   effect_may_repeat,
   host_is_leaving,
 };
-const char* name_of(Refusal refusal);
+const char* name_of(Violation refusal);
 
 class RequestLedger {
  public:
@@ -56,15 +56,16 @@
 
   // An attempt. `allowed_by_list`: the host is neither draining nor removed, or may be sent this all the
   // same.
-  Refusal may_begin(const std::string& id, const HostPlace& to, bool allowed_by_list, Tenths now) const;
+  Violation may_begin(const std::string& id, const EndpointLocation& to, bool allowed_by_list,
+                      Tenths now) const;
   // Just before the first byte of the attempt that is out: whether what allowed it still holds. Connecting
   // may have taken long.
-  Refusal may_send(const std::string& id, bool allowed_by_list, Tenths now) const;
-  void begun(const std::string& id, const HostPlace& to, Tenths now);
+  Violation may_send(const std::string& id, bool allowed_by_list, Tenths now) const;
+  void begun(const std::string& id, const EndpointLocation& to, Tenths now);
   void ended(const std::string& id, bool may_have_run);
 
   // A final answer. `up` and `move` follow an attempt that stands; `busy` says that a repeat is harmless.
-  Refusal may_answer(const std::string& id, FinalAnswer answer) const;
+  Violation may_answer(const std::string& id, FinalAnswer answer) const;
   void answered(const std::string& id);
 
   // The request is no longer held. Returns whether it was owed an answer that nobody gave.
@@ -73,7 +74,7 @@
 
  private:
   struct Attempt {
-    HostPlace to;
+    EndpointLocation to;
     Tenths since = 0;
     bool out = true, may_have_run = true;
   };
@@ -83,8 +84,9 @@
     bool answered = false, client_gone = false;
     std::vector<Attempt> attempts;
   };
-  static Refusal effect_allows(const Request& request, std::size_t attempts, const HostPlace& to, Tenths now);
-  static bool repeat_is_dropped(const RepeatRule& rule, const Attempt& earlier, const HostPlace& to,
+  static Violation effect_allows(const Request& request, std::size_t attempts, const EndpointLocation& to,
+                                 Tenths now);
+  static bool repeat_is_dropped(const RepeatRule& rule, const Attempt& earlier, const EndpointLocation& to,
                                 Tenths now);
 
   std::unordered_map<std::string, Request> requests_;
--- a/src/words.h
+++ b/src/policy/words.h
@@ -7,20 +7,20 @@
 #include <variant>
 #include <vector>
 
-#include "base/clock.h"
+#include "base/time.h"
 
 namespace dapplewharf {
 
 // The settings: names to values. Lists are spelt "traffic.0.name", "traffic.1.name" and so on. Times are
 // tenths.
-using Settings = std::map<std::string, std::variant<double, std::string>>;
+using SettingsMap = std::map<std::string, std::variant<double, std::string>>;
 
-enum class HostState { healthy, draining, gone };
+enum class EndpointState { healthy, draining, removed };
 
-struct Listing {
+struct EndpointEntry {
   std::string host, zone;
   std::int64_t cell = 0;
-  HostState state = HostState::healthy;
+  EndpointState state = EndpointState::healthy;
   double size = 1;     // as the list says it: what the setting `weights` tells
   Tenths started = 0;  // 0: long ago
   std::string kind{};  // of machine; sizes of one kind are alike
@@ -28,12 +28,12 @@
 
 // How a setup try or a probe ended.
 enum class Outcome {
-  honoured,
+  succeeded,
   error,
-  turned_away,
-  no_answer,
-  no_connection,
-  lost,
+  rejected,
+  timed_out,
+  connect_failed,
+  connection_lost,
   cancelled,
   not_sent,
   withdrawn  // before its first byte: its host has been announced as leaving meanwhile
@@ -68,13 +68,13 @@
   bool mid_flow = false, returned = false, repeated = false;
   bool pending = false;  // of one handed over: its host has not brought it up again yet
   int number = 0;        // of the setup try, or of the alarm
-  Outcome outcome = Outcome::honoured;
+  Outcome outcome = Outcome::succeeded;
   Tenths took = 0;
   bool final = false;
   // The load in microseconds of work a second, the delay or wait in tenths, or the connections that all other
   // nodes hold at the host, below 0 where that is unknown.
   double figure = 0;
-  std::vector<Listing> listings;
+  std::vector<EndpointEntry> listings;
   std::vector<double> report;
 };
 
