--- a/src/drill/main.cpp
+++ b/src/sim_adapter/main.cpp
@@ -1,4 +1,4 @@
-// dapplewharf_drill: translates the simulator's wire to the module's words and back. No decisions here.
+// dapplewharf_sim_adapter: translates the simulator's wire to the module's words and back. No decisions here.
 // What a node's decisions cost is measured around this program, so a line is read where it lies and a reply
 // is written straight into one buffer.
 #include <simdjson.h>
@@ -8,8 +8,8 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "choice.h"
-#include "settings.h"
+#include "config/platform_settings.h"
+#include "policy/load_balancer.h"
 
 using namespace dapplewharf;
 using simdjson::dom::array;
@@ -20,22 +20,22 @@
 
 Outcome outcome_of(std::string_view code) {
   if (code == "served") {
-    return Outcome::honoured;
+    return Outcome::succeeded;
   }
   if (code == "server_error") {
     return Outcome::error;
   }
   if (code == "turned_away") {
-    return Outcome::turned_away;
+    return Outcome::rejected;
   }
   if (code == "no_answer") {
-    return Outcome::no_answer;
+    return Outcome::timed_out;
   }
   if (code == "no_connection") {
-    return Outcome::no_connection;
+    return Outcome::connect_failed;
   }
   if (code == "connection_lost") {
-    return Outcome::lost;
+    return Outcome::connection_lost;
   }
   if (code == "called_off") {
     return Outcome::cancelled;
@@ -71,16 +71,16 @@
   return std::nullopt;
 }
 
-Listing listing_of(const object& from) {
-  Listing to;
+EndpointEntry listing_of(const object& from) {
+  EndpointEntry to;
   to.host = needed_text(from, "host");
   to.zone = text(from, "site");
   to.kind = text(from, "type");
   to.cell = whole(from, "cell").value_or(0);
   const std::string_view state = needed_text(from, "state");
-  to.state = state == "healthy"    ? HostState::healthy
-             : state == "cordoned" ? HostState::draining
-                                   : HostState::gone;
+  to.state = state == "healthy"    ? EndpointState::healthy
+             : state == "cordoned" ? EndpointState::draining
+                                   : EndpointState::removed;
   to.size = field(from, "scale", 1.0);
   to.started = tenths_down(field(from, "cameUpMs", 0.0));
   return to;
@@ -232,7 +232,7 @@
   std::string& out_;
 };
 
-using Nodes = std::map<std::int64_t, Choice>;
+using Nodes = std::map<std::int64_t, LoadBalancer>;
 
 std::vector<Action> actions_of(Nodes& nodes, std::int64_t node, Tenths now, const array& inbox) {
   std::vector<Event> events;
@@ -252,7 +252,7 @@
     }
   }
   const auto found = nodes.find(node);
-  return found == nodes.end() ? std::vector<Action>() : found->second.take(now, events);
+  return found == nodes.end() ? std::vector<Action>() : found->second.handle_events(now, events);
 }
 
 void reply_to(Nodes& nodes, const object& batch, std::string& reply) {
@@ -310,7 +310,7 @@
       reply_to(nodes, parser.parse(line).get_object(), reply);
       std::cout.write(reply.data(), static_cast<std::streamsize>(reply.size())).flush();
     } catch (const std::exception& error) {
-      std::cerr << "dapplewharf_drill: bad input: " << error.what() << '\n';
+      std::cerr << "dapplewharf_sim_adapter: bad input: " << error.what() << '\n';
       return 1;
     }
   }
--- a/src/wire/lines.cpp
+++ b/src/wire/lines.cpp
@@ -4,8 +4,8 @@
 #include <charconv>
 #include <set>
 
-#include "chance.h"
-#include "settings.h"
+#include "base/random.h"
+#include "config/platform_settings.h"
 
 namespace dapplewharf {
 namespace {
@@ -71,8 +71,8 @@
 
 }  // namespace
 
-Opened opening_of(std::string_view line, const Grammar& grammar) {
-  Opening to;
+Opened opening_of(std::string_view line, const RequestSchema& grammar) {
+  RequestLine to;
   const auto wrong = [](const char* fault) { return Opened{std::nullopt, fault}; };
   if (!line.ends_with("\r\n")) {
     return wrong("no end of line");
@@ -166,7 +166,7 @@
   return {std::move(to), ""};
 }
 
-std::string with_wait(const Opening& opening, Tenths wait) {
+std::string with_wait(const RequestLine& opening, Tenths wait) {
   std::string line = opening.line;
   return line.replace(opening.wait_at, opening.wait_size, std::to_string(std::max<Tenths>(wait / 10, 1)));
 }
--- a/src/wire/lines.h
+++ b/src/wire/lines.h
@@ -8,14 +8,14 @@
 #include <string>
 #include <string_view>
 
-#include "base/clock.h"
+#include "base/time.h"
 
 namespace dapplewharf {
 
 constexpr std::size_t kLongestLine = 4096;
 
 // A client's first line: the bytes that came, and where in them what decisions need is found.
-struct Opening {
+struct RequestLine {
   std::string line;  // with its end
   std::string id;
   std::string traffic_type, tenant, at;
@@ -26,19 +26,19 @@
 };
 
 // What a first line may name, as the settings know it.
-struct Grammar {
+struct RequestSchema {
   std::map<std::string, Tenths> traffic;  // types, and the longest that a client of each waits
   std::set<std::string> tenants;          // empty: none are told
 };
 
 struct Opened {
-  std::optional<Opening> opening;
+  std::optional<RequestLine> opening;
   std::string fault;  // what is wrong, where there is none
 };
 
 // Of one whole line, with its end. Nothing is taken from a line of which any part is wrong.
-Opened opening_of(std::string_view line, const Grammar& grammar);
-std::string with_wait(const Opening& opening, Tenths wait);
+Opened opening_of(std::string_view line, const RequestSchema& grammar);
+std::string with_wait(const RequestLine& opening, Tenths wait);
 
 enum class Word { up, busy, error, bye, move, load, pong, no, other };
 Word word_of(std::string_view line);
--- a/tests/sidecar/bench.cpp
+++ b/tests/config/config_benchmark.cpp
@@ -8,9 +8,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "sidecar/document.h"
+#include "config/document.h"
 
-using namespace dapplewharf::sidecar;
+using namespace dapplewharf::config;
 
 int main(int count, char** words) {
   if (count != 2) {
--- a/tests/sidecar/fuzz.cpp
+++ b/tests/config/config_fuzzer.cpp
@@ -2,9 +2,9 @@
 // crash or hang, and what is formatted must read as the same again.
 #include <cstdlib>
 
-#include "sidecar/render.h"
+#include "config/render.h"
 
-using namespace dapplewharf::sidecar;
+using namespace dapplewharf::config;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string text(reinterpret_cast<const char*>(data), size);
--- a/tests/sidecar/language.cpp
+++ b/tests/config/config_test.cpp
@@ -9,10 +9,10 @@
 #include <fstream>
 #include <sstream>
 
+#include "config/render.h"
 #include "node/configuration.h"
-#include "sidecar/render.h"
 
-namespace dapplewharf::sidecar {
+namespace dapplewharf::config {
 namespace {
 
 namespace fs = std::filesystem;
@@ -435,4 +435,4 @@
 }
 
 }  // namespace
-}  // namespace dapplewharf::sidecar
+}  // namespace dapplewharf::config
--- a/tests/sidecar/sidecars.sh
+++ b/tests/config/config_tool.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Three applications on one machine: configurations written by the tool, three sidecars started from them, each with
 # hosts of its own; each serves its own application by its own hosts only; a fourth that claims a taken port is refused
-# before it is started. Then the node's own flags. Arguments: dapplewharfctl, dapplewharf, dapplewharf_fleet.
+# before it is started. Then the node's own flags. Arguments: dapplewharfctl, dapplewharf, dapplewharf_emulator.
 set -u
 tool=$1 node=$2 fleet=$3 here=$(cd "$(dirname "$0")" && pwd)
 dir=$(mktemp -d)
--- a/tests/fleet/live.sh
+++ b/tests/emulator/live.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # The rig on sockets: the node keeps every rule; each fault of a bad relay is found; what goes wrong with the rig itself
-# is told in one line, and nothing is left behind. Arguments: dapplewharf_fleet, the node, the bad relay.
+# is told in one line, and nothing is left behind. Arguments: dapplewharf_emulator, the node, the bad relay.
 set -u
 fleet=$1 node=$2 relay=$3 here=$(dirname "$0")
 scenario=$here/short.toml
--- a/tests/fleet/model.cpp
+++ b/tests/emulator/model_test.cpp
@@ -2,13 +2,13 @@
 // both kept and broken.
 #include <gtest/gtest.h>
 
-#include "fleet/audit/audit.h"
-#include "fleet/live/gather.h"
-#include "fleet/model/chance.h"
-#include "fleet/model/host.h"
-#include "fleet/sweep.h"
+#include "emulator/audit/audit.h"
+#include "emulator/live/gather.h"
+#include "emulator/model/chance.h"
+#include "emulator/model/host.h"
+#include "emulator/sweep.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 struct World {
@@ -311,4 +311,4 @@
 }
 
 }  // namespace
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/tests/fleet/scenario.cpp
+++ b/tests/emulator/scenario_test.cpp
@@ -1,5 +1,5 @@
 // Scenarios: what is wrong is told with its place; what is right is all taken; the reference is the table's.
-#include "fleet/model/scenario.h"
+#include "emulator/model/scenario.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 const std::string kGood =
@@ -128,8 +128,8 @@
   std::ostringstream page;
   page << in.rdbuf();
   EXPECT_NE(page.str().find(reference()), std::string::npos)
-      << "run dapplewharf_fleet schema and put it into docs/scenario.md";
+      << "run dapplewharf_emulator schema and put it into docs/scenario.md";
 }
 
 }  // namespace
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/tests/fleet/sim.cpp
+++ b/tests/emulator/simulation_test.cpp
@@ -1,15 +1,14 @@
 // Whole runs in virtual time: the same bytes for the same seed, every rule findable, and the module keeping
 // all of them.
-#include "fleet/sim/sim.h"
-
 #include <gtest/gtest.h>
 
 #include <filesystem>
 
-#include "fleet/sim/policy.h"
-#include "fleet/sweep.h"
+#include "emulator/sim/policy.h"
+#include "emulator/sim/sim.h"
+#include "emulator/sweep.h"
 
-namespace dapplewharf::fleet {
+namespace dapplewharf::emulator {
 namespace {
 
 Scenario example(const std::string& name) {
@@ -117,4 +116,4 @@
 }
 
 }  // namespace
-}  // namespace dapplewharf::fleet
+}  // namespace dapplewharf::emulator
--- a/tests/members.cpp
+++ b/tests/gossip/peer_load_table_test.cpp
@@ -1,8 +1,9 @@
 // Words between nodes: what is heard, for how long, and what an estimate is made of.
+#include "gossip/peer_load_table.h"
+
 #include <gtest/gtest.h>
 
-#include "members/tally.h"
-#include "node/peers.h"
+#include "node/gossip_socket.h"
 
 using namespace dapplewharf;
 
@@ -10,43 +11,44 @@
 
 constexpr Tenths kNow = 17000000000000;
 
-Tally tally_of(int nodes) {
-  return Tally(nodes, 0, 7);
+PeerLoadTable tally_of(int nodes) {
+  return PeerLoadTable(nodes, 0, 7);
 }
 
 }  // namespace
 
-TEST(Tally, WhatTenOfAHundredSayStandsForAllOthers) {
-  Tally tally = tally_of(100);
+TEST(PeerLoadTable, WhatTenOfAHundredSayStandsForAllOthers) {
+  PeerLoadTable tally = tally_of(100);
   for (int node = 1; node <= 10; ++node) {
     EXPECT_FALSE(node > 8 && !tally.elsewhere("a", kNow));
-    EXPECT_TRUE(tally.hear(node, Tally::word({{"a", 2}, {"b", node % 2}}, kNow), kNow));
+    EXPECT_TRUE(tally.hear(node, PeerLoadTable::word({{"a", 2}, {"b", node % 2}}, kNow), kNow));
   }
   EXPECT_NEAR(*tally.elsewhere("a", kNow), 2 * 99, 1);
   EXPECT_NEAR(*tally.elsewhere("b", kNow), 0.5 * 99, 1);
   EXPECT_EQ(*tally.elsewhere("nobody", kNow), 0);
 }
 
-TEST(Tally, FewWordsAreNoEstimateAndOldOnesFadeAway) {
-  Tally tally = tally_of(100);
+TEST(PeerLoadTable, FewWordsAreNoEstimateAndOldOnesFadeAway) {
+  PeerLoadTable tally = tally_of(100);
   for (int node = 1; node <= 7; ++node) {
-    tally.hear(node, Tally::word({{"a", 1}}, kNow), kNow);
+    tally.hear(node, PeerLoadTable::word({{"a", 1}}, kNow), kNow);
   }
   EXPECT_FALSE(tally.elsewhere("a", kNow));
   for (int node = 8; node <= 20; ++node) {
-    tally.hear(node, Tally::word({{"a", 1}}, kNow), kNow);
+    tally.hear(node, PeerLoadTable::word({{"a", 1}}, kNow), kNow);
   }
   EXPECT_TRUE(tally.elsewhere("a", kNow + 5 * kSecond));
   EXPECT_FALSE(tally.elsewhere("a", kNow + 7 * kSecond));
 }
 
-TEST(Tally, LateDoubledStaleAndBrokenWordsChangeNothing) {
-  Tally tally = tally_of(2);
-  EXPECT_TRUE(tally.hear(1, Tally::word({{"a", 5}}, kNow), kNow));
-  EXPECT_FALSE(tally.hear(1, Tally::word({{"a", 9}}, kNow - kSecond), kNow));       // overtaken
-  EXPECT_FALSE(tally.hear(1, Tally::word({{"a", 9}}, kNow - 60 * kSecond), kNow));  // from a former life
-  EXPECT_TRUE(tally.hear(1, Tally::word({{"a", 5}}, kNow), kNow));                  // doubled
-  const std::string good = Tally::word({{"a", 9}, {"b", 1}}, kNow + kSecond);
+TEST(PeerLoadTable, LateDoubledStaleAndBrokenWordsChangeNothing) {
+  PeerLoadTable tally = tally_of(2);
+  EXPECT_TRUE(tally.hear(1, PeerLoadTable::word({{"a", 5}}, kNow), kNow));
+  EXPECT_FALSE(tally.hear(1, PeerLoadTable::word({{"a", 9}}, kNow - kSecond), kNow));  // overtaken
+  EXPECT_FALSE(
+      tally.hear(1, PeerLoadTable::word({{"a", 9}}, kNow - 60 * kSecond), kNow));  // from a former life
+  EXPECT_TRUE(tally.hear(1, PeerLoadTable::word({{"a", 5}}, kNow), kNow));         // doubled
+  const std::string good = PeerLoadTable::word({{"a", 9}, {"b", 1}}, kNow + kSecond);
   for (const std::size_t size : {0, 1, 2, 4, 5, 7, 8}) {
     EXPECT_FALSE(tally.hear(1, good.substr(0, size), kNow));
   }
@@ -57,29 +59,29 @@
   EXPECT_EQ(*tally.elsewhere("a", kNow), 5);
 }
 
-TEST(Tally, AStampThatWrapsAndAClockALittleAheadAreUnderstood) {
-  Tally tally = tally_of(2);
+TEST(PeerLoadTable, AStampThatWrapsAndAClockALittleAheadAreUnderstood) {
+  PeerLoadTable tally = tally_of(2);
   const Tenths wraps = kNow - kNow % (65536 * 1000);
-  EXPECT_TRUE(tally.hear(1, Tally::word({{"a", 1}}, wraps - 1000), wraps + 1000));
-  EXPECT_TRUE(tally.hear(1, Tally::word({{"a", 2}}, wraps + 15000), wraps + 2000));
+  EXPECT_TRUE(tally.hear(1, PeerLoadTable::word({{"a", 1}}, wraps - 1000), wraps + 1000));
+  EXPECT_TRUE(tally.hear(1, PeerLoadTable::word({{"a", 2}}, wraps + 15000), wraps + 2000));
   EXPECT_EQ(*tally.elsewhere("a", wraps + 2000), 2);
 }
 
-TEST(Tally, AWordOfManyHostsFitsAndLeavesOutTheSmallest) {
-  Tally::Counts counts;
+TEST(PeerLoadTable, AWordOfManyHostsFitsAndLeavesOutTheSmallest) {
+  PeerLoadTable::Counts counts;
   for (int i = 0; i < 200; ++i) {
     counts["h" + std::to_string(i)] = i + 100;
   }
-  Tally tally = tally_of(2);
-  EXPECT_LE(Tally::word(counts, kNow).size(), 255U);
-  EXPECT_TRUE(tally.hear(1, Tally::word(counts, kNow), kNow));
+  PeerLoadTable tally = tally_of(2);
+  EXPECT_LE(PeerLoadTable::word(counts, kNow).size(), 255U);
+  EXPECT_TRUE(tally.hear(1, PeerLoadTable::word(counts, kNow), kNow));
   EXPECT_EQ(*tally.elsewhere("h150", kNow), 250);
   EXPECT_EQ(*tally.elsewhere("h199", kNow), 255);  // no more can be said
 }
 
 // Danger: what each tells to all others grows with the square of the nodes.
-TEST(Tally, TellingIsBoundedHoweverFastThingsChange) {
-  Tally tally = tally_of(400);
+TEST(PeerLoadTable, TellingIsBoundedHoweverFastThingsChange) {
+  PeerLoadTable tally = tally_of(400);
   std::size_t changing = 0;
   std::size_t still = 0;
   for (Tenths now = 0; now < 10 * kSecond; now += 100) {
@@ -95,13 +97,13 @@
   EXPECT_TRUE(tally_of(1).tell_to(0, {{"a", 1}}).empty());
 }
 
-TEST(Peers, TwoNodesHearEachOtherAndNobodyElse) {
-  Loop loop;
+TEST(GossipSocket, TwoNodesHearEachOtherAndNobodyElse) {
+  EventLoop loop;
   Counters counters;
   const std::vector<std::string> both{"127.0.77.1:21461", "127.0.77.1:21462"};
-  Peers one(loop, counters, {both[0], both, 0}, 1);
-  Peers two(loop, counters, {both[1], both, 1}, 2);
-  Peers stranger(loop, counters, {"127.0.77.1:21463", both, 0}, 3);
+  GossipSocket one(loop, counters, {both[0], both, 0}, 1);
+  GossipSocket two(loop, counters, {both[1], both, 1}, 2);
+  GossipSocket stranger(loop, counters, {"127.0.77.1:21463", both, 0}, 3);
   stranger.tell({{"a", 90}});
   one.tell({{"a", 3}});
   for (int i = 0; i < 20 && !two.elsewhere("a"); ++i) {
@@ -110,7 +112,7 @@
   EXPECT_EQ(two.elsewhere("a").value_or(-1), 3);
   EXPECT_FALSE(one.elsewhere("a"));
   EXPECT_EQ(counters.words_passed, 1U);
-  Peers alone(loop, counters, {}, 4);
+  GossipSocket alone(loop, counters, {}, 4);
   alone.tell({{"a", 1}});
   EXPECT_FALSE(alone.elsewhere("a"));
 }
--- a/tests/variants.cpp
+++ b/tests/node/deployments_test.cpp
@@ -6,7 +6,7 @@
 
 #include <filesystem>
 
-#include "helper.h"
+#include "support/fixtures.h"
 
 using namespace dapplewharf;
 
--- a/tests/crossings_many.cpp
+++ b/tests/node/event_order_random_test.cpp
@@ -3,8 +3,8 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "chance.h"
-#include "helper.h"
+#include "base/random.h"
+#include "support/fixtures.h"
 
 using namespace dapplewharf;
 
@@ -20,7 +20,7 @@
   bool answered() const { return in.find('\n') != std::string::npos; }
 };
 
-struct Try {  // as its host sees it
+struct Attempt {  // as its host sees it
   Socket socket;
   int host = 0;
   std::string in, id;
@@ -29,17 +29,17 @@
 };
 
 struct Many {
-  Chance& chance;
+  RandomGenerator& chance;
   Socket listeners[kHosts];
   sockaddr_in at[kHosts];
   std::optional<Net> net;
   std::vector<Client> clients;
-  std::vector<Try> tries;
+  std::vector<Attempt> tries;
   int turn = 0, version = 1, told = -1, last_id = 0, lines = 0, answers = 0;
   int drains_since[kHosts] = {-1, -1, -1, -1};
   bool drains = false;
 
-  explicit Many(Chance& from) : chance(from) {
+  explicit Many(RandomGenerator& from) : chance(from) {
     for (int i = 0; i < kHosts; ++i) {
       at[i] = Net::listening(listeners[i]);
     }
@@ -74,7 +74,7 @@
       one.gone = true;
       one_in(2) ? one.socket.abort() : one.socket.finish();
     }
-    for (Try& one : tries) {
+    for (Attempt& one : tries) {
       if (one.known && !one.answered && !one.ended && one_in(4)) {
         answer(one);
       }
@@ -94,7 +94,7 @@
     }
   }
 
-  void answer(Try& one) {
+  void answer(Attempt& one) {
     // What goes wrong is kept rare: a node that sees trouble everywhere rejects, and nothing crosses.
     const unsigned how = chance.next() % 16;
     const std::string said = how == 0   ? "BUSY\r\n"
@@ -126,13 +126,13 @@
         tries.back().host = i;
       }
     }
-    for (Try& one : tries) {
+    for (Attempt& one : tries) {
       bool end = false;
       if (one.socket && !one.ended) {
         one.ended = !one.socket.receive(one.in, 4096, end) || end;
       }
     }
-    for (Try& one : tries) {
+    for (Attempt& one : tries) {
       if (!one.known && one.in.find('\n') != std::string::npos) {
         judge(one);
       }
@@ -145,7 +145,7 @@
     }
   }
 
-  void judge(Try& made) {
+  void judge(Attempt& made) {
     ++lines;
     made.known = true;
     made.id = made.in.substr(5, made.in.find(' ', 5) - 5);
@@ -156,7 +156,7 @@
         std::find_if(clients.begin(), clients.end(), [&](auto& one) { return one.id == made.id; });
     ASSERT_NE(client, clients.end()) << "rule 1: nothing is sent after the end: " << made.id;
     EXPECT_FALSE(client->answered()) << "rule 1: a try after the answer: " << made.id;
-    for (const Try& earlier : tries) {
+    for (const Attempt& earlier : tries) {
       if (&earlier == &made || earlier.id != made.id) {
         continue;
       }
@@ -188,7 +188,7 @@
       ++answers;
       EXPECT_TRUE(word == "UP" || word == "BUSY" || word == "ERR") << one.id << ": " << one.in;
       EXPECT_TRUE(word == "UP" || one.in.find('\n') + 1 == one.in.size()) << "rule 1: more after its answer";
-      for (const Try& made : tries) {
+      for (const Attempt& made : tries) {
         EXPECT_TRUE(made.id != one.id || !one.once || word != "BUSY" || made.turned_away)
             << "rule 2: rejected though it may have run: " << one.id;
       }
@@ -210,7 +210,7 @@
 TEST(Crossings, AThousandAtRandomKeepTheRules) {
   SCOPED_TRACE("seed " + std::to_string(kSeed));
   spdlog::set_level(spdlog::level::err);
-  Chance chance(kSeed);
+  RandomGenerator chance(kSeed);
   int lines = 0;
   int answers = 0;
   for (int node = 0; node < kNodes && !testing::Test::HasFailure(); ++node) {
--- a/tests/crossings.cpp
+++ b/tests/node/event_order_test.cpp
@@ -2,7 +2,7 @@
 // None waits for luck, and none asserts a machine's speed: spans are the protocol page's own.
 #include <gtest/gtest.h>
 
-#include "helper.h"
+#include "support/fixtures.h"
 
 using namespace dapplewharf;
 
--- a/tests/node.cpp
+++ b/tests/node/node_test.cpp
@@ -4,13 +4,13 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "helper.h"
+#include "support/fixtures.h"
 #include "wire/http.h"
 #include "wire/lines.h"
 
 using namespace dapplewharf;
 
-const Grammar kGrammar{{{"chat", 20000}}, {"acme"}};
+const RequestSchema kGrammar{{{"chat", 20000}}, {"acme"}};
 
 TEST(Lines, AFirstLineGivesWhatDecisionsNeedAndOnlyDChanges) {
   const std::string line =
@@ -148,30 +148,32 @@
 }
 
 TEST(Errors, WhatProvesThatATryNeverRan) {
-  for (const Reach reach : {Reach::not_connected, Reach::partly_written}) {
-    for (const Cause cause : {Cause::broken, Cause::closed, Cause::time_out}) {
-      EXPECT_EQ(outcome_of({reach, cause}), Outcome::no_connection);
+  for (const AttemptProgress reach : {AttemptProgress::not_connected, AttemptProgress::partly_written}) {
+    for (const TerminationReason cause :
+         {TerminationReason::broken, TerminationReason::closed, TerminationReason::time_out}) {
+      EXPECT_EQ(outcome_of({reach, cause}), Outcome::connect_failed);
     }
   }
-  EXPECT_EQ(outcome_of({Reach::written, Cause::broken}), Outcome::lost);
-  EXPECT_EQ(outcome_of({Reach::written, Cause::time_out}), Outcome::no_answer);
-  EXPECT_EQ(outcome_of({Reach::written, Cause::busy}), Outcome::turned_away);
-  EXPECT_EQ(outcome_of({Reach::not_connected, Cause::no_descriptor}), Outcome::not_sent);
+  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::broken}), Outcome::connection_lost);
+  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::time_out}), Outcome::timed_out);
+  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::busy}), Outcome::rejected);
+  EXPECT_EQ(outcome_of({AttemptProgress::not_connected, TerminationReason::no_descriptor}),
+            Outcome::not_sent);
 }
 
-TEST(Slots, ALateTicketNeverHitsASlotGivenToAnother) {
-  Slots<int> table;
-  const Ticket first = table.add(1);
+TEST(SlotMap, ALateTicketNeverHitsASlotGivenToAnother) {
+  SlotMap<int> table;
+  const Handle first = table.add(1);
   table.drop(first);
-  const Ticket second = table.add(2);
+  const Handle second = table.add(2);
   EXPECT_EQ(first.slot, second.slot);
   EXPECT_EQ(table.find(first), nullptr);
   table.drop(first);
   EXPECT_EQ(*table.find(second), 2);
 }
 
-TEST(Starts, AStepOfTheMachinesClockIsNoRestart) {
-  Starts starts;
+TEST(Incarnations, AStepOfTheMachinesClockIsNoRestart) {
+  Incarnations starts;
   const Tenths first = starts.place("h", 1000, 50000, 20000);
   EXPECT_EQ(first, 40000);
   EXPECT_EQ(starts.place("h", 1000, 60000, 90000), first);
@@ -179,8 +181,8 @@
   EXPECT_EQ(starts.place("h", 0, 60000, 30000), 0);
 }
 
-TEST(Meter, AHostWhoseProbesWaitIsToldOnceASecondAndOnceMoreWhenOver) {
-  Meter meter;
+TEST(LatencyEstimator, AHostWhoseProbesWaitIsToldOnceASecondAndOnceMoreWhenOver) {
+  LatencyEstimator meter;
   Tenths now = 100000;
   for (int i = 0; i < 5; ++i) {
     meter.probed(now, 30);
@@ -195,25 +197,25 @@
   EXPECT_FALSE(meter.tell(now + 22000, 500, {}));
 }
 
-TEST(Meter, AHostThatWasNeverSeenAtRestIsJudgedByTheOthers) {
-  const double work = work_at_rest({2.5 * 178, 2.5 * 34, 4 * 20, 6 * 1});
+TEST(LatencyEstimator, AHostThatWasNeverSeenAtRestIsJudgedByTheOthers) {
+  const double work = baseline_service_time({2.5 * 178, 2.5 * 34, 4 * 20, 6 * 1});
   EXPECT_EQ(work, 80) << "neither the slow one nor the one that answers at once";
-  EXPECT_EQ(work_at_rest({}), 0);
-  Meter alone;
-  Meter among;
-  for (Meter* meter : {&alone, &among}) {
+  EXPECT_EQ(baseline_service_time({}), 0);
+  LatencyEstimator alone;
+  LatencyEstimator among;
+  for (LatencyEstimator* meter : {&alone, &among}) {
     meter->probed(99000, 178);
   }
   EXPECT_FALSE(among.tell(99000, 500, {}, 64)) << "one probe alone says nothing";
-  for (Meter* meter : {&alone, &among}) {
+  for (LatencyEstimator* meter : {&alone, &among}) {
     meter->probed(100000, 178);
   }
   EXPECT_FALSE(alone.tell(100000, 500, {}));
   EXPECT_GT(among.tell(100000, 500, {}, static_cast<Tenths>(2 * work / 2.5)), 250);
 }
 
-TEST(Meter, LinesWithoutAnswerCountWithTheirAge) {
-  Meter meter;
+TEST(LatencyEstimator, LinesWithoutAnswerCountWithTheirAge) {
+  LatencyEstimator meter;
   EXPECT_EQ(meter.tell(100000, 500, {0, 20000, 21000}), 21000);
 }
 
@@ -373,7 +375,7 @@
 
 // Operators' term: idle clients may fill the descriptors while discovery is down.
 TEST(Descriptors, TheLastOnesAreDiscoverysAndNoProbeTakesThem) {
-  Loop loop;
+  EventLoop loop;
   Counters counters;
   const Limits limits{96, kSecond};
   Socket listener;
@@ -382,13 +384,14 @@
   while (!Socket::short_of(limits.descriptors, kProbesLeave)) {
     idle.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
   }
-  std::optional<Cause> probed;
-  Probes probes(loop, counters, limits,
-                [&](const std::string&, const Probes::Probed& end) { probed = end.end.cause; });
+  std::optional<TerminationReason> probed;
+  HealthChecker probes(loop, counters, limits,
+                       [&](const std::string&, const HealthChecker::Probed& end) { probed = end.end.cause; });
   probes.probe("h0", at);
-  EXPECT_EQ(probed, Cause::no_descriptor);
+  EXPECT_EQ(probed, TerminationReason::no_descriptor);
   bool lost = false;
-  Discovery discovery(loop, counters, at, limits, 1, {[](const List&) {}, [&] { lost = true; }});
+  EndpointDiscovery discovery(loop, counters, at, limits, 1,
+                              {[](const EndpointSnapshot&) {}, [&] { lost = true; }});
   discovery.fetch();
   for (int i = 0; i < 5; ++i) {
     loop.turn(100);
@@ -620,15 +623,16 @@
   EXPECT_EQ(net.read(crowd[1]), "BUSY\r\n") << "the longest silent give way";
 }
 
-TEST(Probes, AnErrorThatComesAtOnceSaysNothingOfHowLongAHostTakes) {
+TEST(HealthChecker, AnErrorThatComesAtOnceSaysNothingOfHowLongAHostTakes) {
   Net net;
   Counters counters;
   Limits limits;
   limits.connect_time = 5000;
   std::vector<Tenths> answered;
-  Probes probes(net.loop, counters, limits, [&](const std::string&, const Probes::Probed& probed) {
-    answered.push_back(probed.answer_after);
-  });
+  HealthChecker probes(net.loop, counters, limits,
+                       [&](const std::string&, const HealthChecker::Probed& probed) {
+                         answered.push_back(probed.answer_after);
+                       });
   probes.probe("h", Net::text_of(net.hosts_at));
   const int host = net.host_accepts();
   for (const char* answer : {"ERR\r\n", "PONG\r\n"}) {
--- a/tests/shadow.cpp
+++ b/tests/node/shadow_test.cpp
@@ -5,7 +5,7 @@
 
 #include <fstream>
 
-#include "helper.h"
+#include "support/fixtures.h"
 
 using namespace dapplewharf;
 
@@ -16,9 +16,9 @@
   std::unique_ptr<Shadow> shadow;
   std::string actions;  // all that the real module did, in words
 
-  void begin(int hosts, const Settings& others) {
+  void begin(int hosts, const SettingsMap& others) {
     shadow = std::make_unique<Shadow>(others, 7, now);
-    node = std::make_unique<Choice>(settings, 7, now);
+    node = std::make_unique<LoadBalancer>(settings, 7, now);
     Event list;
     list.kind = EventKind::list_copy;
     for (int i = 0; i < hosts; ++i) {
@@ -62,7 +62,7 @@
       tell(wish);
       if (i % 5 == 1 && !tries[id].empty()) {
         Event bad = of(EventKind::try_ended, id);
-        bad.outcome = Outcome::turned_away;
+        bad.outcome = Outcome::rejected;
         tell(bad);
       }
       if (tries[id].empty()) {
@@ -87,7 +87,7 @@
         Event change;
         change.kind = EventKind::list_changes;
         change.listings.push_back(listing("h1"));
-        change.listings.back().state = HostState::draining;
+        change.listings.back().state = EndpointState::draining;
         tell(change);
       }
       if (i >= 80 && i < 84) {
@@ -145,7 +145,7 @@
                           Case{"message_goal.0", 5000.0, &ShadowCounts::would_leave},
                           Case{"zone", std::string("far"), nullptr}, Case{"report.load", 0.0, nullptr}}) {
     Watched fleet;
-    Settings others = fleet.settings;
+    SettingsMap others = fleet.settings;
     others[one.setting] = one.value;
     fleet.begin(6, others);
     fleet.day();
@@ -158,7 +158,7 @@
   }
   // The other way round: the real one tries once, the other settings would try again.
   Watched strict;
-  const Settings others = strict.settings;
+  const SettingsMap others = strict.settings;
   strict.settings["max_tries"] = 1.0;
   strict.begin(6, others);
   strict.day();
@@ -168,7 +168,7 @@
 
 TEST(Shadow, WeightsThatMoveAreReadByTheNewShapeOnly) {
   Watched fleet;
-  Settings others = fleet.settings;
+  SettingsMap others = fleet.settings;
   others["weights"] = std::string("live");
   fleet.settings["nodes"] = others["nodes"] = 30.0;
   fleet.begin(6, others);
--- a/tests/faults/passing.cpp
+++ b/tests/node/transient_faults_test.cpp
@@ -5,9 +5,9 @@
 #include <cstdio>
 #include <fstream>
 
-#include "faults/system_faults.h"
-#include "helper.h"
 #include "node/reload.h"
+#include "support/fixtures.h"
+#include "support/system_faults.h"
 
 using namespace dapplewharf;
 using faults::Call;
--- a/tests/backoff.cpp
+++ b/tests/policy/backoff_test.cpp
@@ -1,9 +1,9 @@
 // The waits before calls to the list service: their sum within which a change counts as told, and that
 // whoever lost together does not ask together. The module's and the node's waits are forced with their own
 // clocks.
-#include "backoff.h"
+#include "policy/backoff.h"
 
-#include "helper.h"
+#include "support/fixtures.h"
 
 using namespace dapplewharf;
 
@@ -14,7 +14,7 @@
 }  // namespace
 
 TEST(Backoff, NoWaitOutlastsWhatNoticingALossAndTheQueueLeaveOfTheTime) {
-  Chance chance(3);
+  RandomGenerator chance(3);
   for (const double nodes : {1.0, 30.0, 350.0, 1024.0}) {
     for (const Tenths most : {Tenths{0}, 200 * kMs, 560 * kMs, 7 * kSecond, INT64_MAX / 2}) {
       const Backoff backoff(nodes, most);
@@ -30,7 +30,7 @@
 }
 
 TEST(Backoff, WhoeverLostTogetherAsksApartAndTheMoreOftenTheFurther) {
-  Chance chance(5);
+  RandomGenerator chance(5);
   for (const int losses : {1, 3, 9}) {
     Tenths least = INT64_MAX;
     Tenths most = 0;
--- a/tests/stories.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -4,7 +4,7 @@
 #include <numeric>
 #include <set>
 
-#include "helper.h"
+#include "support/fixtures.h"
 
 using namespace dapplewharf;
 
@@ -51,12 +51,13 @@
   fake.start(3);
   fake.arrive("a");
   fake.now += 30000;
-  fake.end("a", Outcome::no_answer);
+  fake.end("a", Outcome::timed_out);
   EXPECT_TRUE(fake.said(ActionKind::reject, "a"));
 }
 
 TEST(Effects, AnUnrepeatableThatMayHaveRunIsScrapped) {
-  for (const Outcome outcome : {Outcome::error, Outcome::no_answer, Outcome::lost, Outcome::cancelled}) {
+  for (const Outcome outcome :
+       {Outcome::error, Outcome::timed_out, Outcome::connection_lost, Outcome::cancelled}) {
     Fake fake;
     fake.start(6);
     fake.arrive("a", 1, "once");
@@ -67,7 +68,7 @@
 }
 
 TEST(Effects, AnUnrepeatableThatNeverRanIsTriedAgain) {
-  for (const Outcome outcome : {Outcome::turned_away, Outcome::no_connection, Outcome::not_sent}) {
+  for (const Outcome outcome : {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent}) {
     Fake fake;
     fake.start(6);
     fake.arrive("a", 1, "once");
@@ -80,19 +81,19 @@
   Fake fake;
   fake.start(3);
   for (int i = 0; i < 3; ++i) {
-    fake.list(Fake::listing("far" + std::to_string(i), "far"), HostState::healthy);
+    fake.list(Fake::listing("far" + std::to_string(i), "far"), EndpointState::healthy);
   }
   const std::string first = fake.arrive("a", 1, "marked");
-  fake.end("a", Outcome::no_answer);
+  fake.end("a", Outcome::timed_out);
   ASSERT_EQ(fake.tries["a"].size(), 2u);
   EXPECT_EQ(fake.tries["a"][1][0], first[0]);
   fake.now += 6000;
-  fake.end("a", Outcome::no_answer);
+  fake.end("a", Outcome::timed_out);
   EXPECT_TRUE(fake.said(ActionKind::scrap, "a"));
 }
 
 TEST(Drains, EveryWayOutOfTheListStopsNewWorkAtOnce) {
-  for (const HostState state : {HostState::draining, HostState::gone}) {
+  for (const EndpointState state : {EndpointState::draining, EndpointState::removed}) {
     Fake fake;
     fake.start(2);
     fake.list(Fake::listing("h0"), state);
@@ -114,7 +115,7 @@
 TEST(Drains, AMidFlowArrivalMayReachADrainingHostOnlyWithinTheGrace) {
   Fake fake;
   fake.start(1);
-  fake.list(Fake::listing("h0"), HostState::draining);
+  fake.list(Fake::listing("h0"), EndpointState::draining);
   EXPECT_EQ(fake.arrive("a", 1, "plain", true), "h0");
   fake.now += 10000;
   EXPECT_EQ(fake.arrive("b", 1, "plain", true), "");
@@ -123,7 +124,7 @@
 TEST(Cold, ACrowdDoesNotPushOverTheOnlyHostLeft) {
   Fake fake;
   fake.start(1);
-  fake.list(Fake::listing("h0", "near", fake.now), HostState::healthy);
+  fake.list(Fake::listing("h0", "near", fake.now), EndpointState::healthy);
   int sent = 0;
   for (int i = 0; i < 50; ++i) {
     sent += fake.arrive("a" + std::to_string(i), i).empty() ? 0 : 1;
@@ -133,7 +134,7 @@
   EXPECT_TRUE(fake.said(ActionKind::reject));
 }
 
-TEST(Ring, ASecondNodeMapsAlikeAndALossMovesOnlyItsOwnKeys) {
+TEST(EndpointSelector, ASecondNodeMapsAlikeAndALossMovesOnlyItsOwnKeys) {
   Fake one;
   Fake two;
   one.start(5, 1);
@@ -141,21 +142,21 @@
   std::map<int, std::string> before;
   for (int i = 0; i < 30; ++i, one.now += 10000, two.now += 10000) {
     before[i] = one.arrive("a" + std::to_string(i), i);
-    one.end("a" + std::to_string(i), Outcome::honoured, true);
+    one.end("a" + std::to_string(i), Outcome::succeeded, true);
     EXPECT_EQ(before[i], two.arrive("b" + std::to_string(i), i));
-    two.end("b" + std::to_string(i), Outcome::honoured, true);
+    two.end("b" + std::to_string(i), Outcome::succeeded, true);
   }
-  one.list(Fake::listing("h2"), HostState::gone);
+  one.list(Fake::listing("h2"), EndpointState::removed);
   for (int i = 0; i < 30; ++i, one.now += 10000) {
     const std::string after = one.arrive("c" + std::to_string(i), i);
-    one.end("c" + std::to_string(i), Outcome::honoured, true);
+    one.end("c" + std::to_string(i), Outcome::succeeded, true);
     if (before[i] != "h2") {
       EXPECT_EQ(after, before[i]);
     }
   }
 }
 
-TEST(Ring, WhereANodeHoldsLittleAHostIsWellOverByWhatOthersTell) {
+TEST(EndpointSelector, WhereANodeHoldsLittleAHostIsWellOverByWhatOthersTell) {
   Fake fake;
   fake.settings["nodes"] = 100.0;
   fake.start(4);
@@ -174,7 +175,7 @@
   EXPECT_EQ(fake.arrive("d", 1), first);
 }
 
-TEST(Ring, AHostWellOverTheMeanIsPassed) {
+TEST(EndpointSelector, AHostWellOverTheMeanIsPassed) {
   Fake fake;
   fake.start(3);
   std::set<std::string> used;
@@ -188,11 +189,11 @@
   Fake fake;
   fake.start(5);
   const std::string home = fake.arrive("a", 3);
-  fake.end("a", Outcome::honoured, true);
+  fake.end("a", Outcome::succeeded, true);
   fake.silent.insert(home);
   fake.pass(40000);
   EXPECT_NE(fake.arrive("b", 3), home);
-  fake.end("b", Outcome::honoured, true);
+  fake.end("b", Outcome::succeeded, true);
   fake.silent.clear();
   fake.pass(200000);
   EXPECT_EQ(fake.arrive("c", 3), home);
@@ -221,7 +222,7 @@
   EXPECT_EQ(one.probes, two.probes);
 }
 
-TEST(Settings, AMissingFigureOfARuleIsNamed) {
+TEST(SettingsMap, AMissingFigureOfARuleIsNamed) {
   Fake fake;
   fake.settings.erase("cold_time");
   try {
@@ -320,10 +321,10 @@
   for (const char* id : {"b", "c", "d"}) {
     EXPECT_EQ(fake.arrive(id, 3), home);
     fake.end(id, Outcome::error);
-    fake.end(id, Outcome::honoured, true);
+    fake.end(id, Outcome::succeeded, true);
   }
   EXPECT_NE(fake.arrive("e", 3), home);
-  fake.end("e", Outcome::honoured, true);
+  fake.end("e", Outcome::succeeded, true);
   fake.pass(300000);
   EXPECT_EQ(fake.arrive("f", 3), home);
 }
@@ -367,10 +368,10 @@
   Fake fake;
   fake.start(2);
   const Tenths started = fake.now;
-  fake.list(Fake::listing("new", "near", started), HostState::healthy);
+  fake.list(Fake::listing("new", "near", started), EndpointState::healthy);
   for (int i = 0; i < 9; ++i) {
     fake.pass(10000);
-    fake.list(Fake::listing("new", "near", started), HostState::healthy);
+    fake.list(Fake::listing("new", "near", started), EndpointState::healthy);
   }
   bool used = false;
   for (int i = 0; i < 40; ++i, fake.now += 10000) {
@@ -468,7 +469,7 @@
     fake.start(1);
     fake.arrive("stands");
     fake.stand("stands");
-    fake.list(Fake::listing("h0"), HostState::gone);
+    fake.list(Fake::listing("h0"), EndpointState::removed);
     EXPECT_EQ(fake.arrive("a"), binds_alone ? "h0" : "");
     fake.pass(20000);
     EXPECT_EQ(fake.arrive("b"), binds_alone ? "h0" : "");
@@ -483,8 +484,8 @@
   Fake fake;
   fake.settings["drain_binds_alone"] = 1.0;
   fake.start(1);
-  fake.list(Fake::listing("h0"), HostState::draining);
-  fake.list(Fake::listing("h0"), HostState::gone);
+  fake.list(Fake::listing("h0"), EndpointState::draining);
+  fake.list(Fake::listing("h0"), EndpointState::removed);
   fake.pass(30000);
   EXPECT_EQ(fake.arrive("a"), "");
 }
@@ -557,7 +558,7 @@
       fake.settings["price_crossing"] = price;
       fake.start(4);
       for (int i = 0; i < 4; ++i) {
-        fake.list(Fake::listing("f" + std::to_string(i), "far"), HostState::healthy);
+        fake.list(Fake::listing("f" + std::to_string(i), "far"), EndpointState::healthy);
       }
       fake.pass(100000);
       fake.arrive("late", 1, "plain", false, 99);
@@ -591,7 +592,7 @@
       }
       fake.start(4);
       for (int i = 0; i < 4; ++i) {
-        fake.list(Fake::listing("f" + std::to_string(i), "far"), HostState::healthy);
+        fake.list(Fake::listing("f" + std::to_string(i), "far"), EndpointState::healthy);
       }
       fake.pass(100000);
       for (int i = 0; i < 10; ++i) {
@@ -633,7 +634,7 @@
   EXPECT_GT(asked.size(), 10u);
 }
 
-TEST(Settings, ANumberOfNodesThatIsMissingOrWrongCountsAsOne) {
+TEST(SettingsMap, ANumberOfNodesThatIsMissingOrWrongCountsAsOne) {
   for (const double nodes : {0.0, -3.0}) {
     Fake fake;
     fake.settings["nodes"] = nodes;
@@ -649,7 +650,7 @@
     Fake fake;
     fake.settings["nodes"] = 200.0, fake.settings["me"] = static_cast<double>(seed);
     fake.start(1, seed);
-    fake.list(Fake::listing("h0", "near", fake.now), HostState::healthy);
+    fake.list(Fake::listing("h0", "near", fake.now), EndpointState::healthy);
     sent += fake.arrive("a", 1).empty() ? 0 : 1;
   }
   EXPECT_LT(sent, 20);
@@ -665,7 +666,7 @@
       fake.settings["tenant.0.name"] = std::string("one");
       fake.settings["tenant.0.open"] = 40.0;
       fake.start(1, static_cast<std::uint64_t>(n));
-      fake.list(Fake::listing("h0", "near", fake.now), HostState::healthy);
+      fake.list(Fake::listing("h0", "near", fake.now), EndpointState::healthy);
       if (told) {
         fake.held("h0", 20);
       }
@@ -687,8 +688,8 @@
     fake.settings["tenant.0.open"] =
         400.0;  // 100 for each host: 2.5 x 0.3 x 100 / 4 = 19 in a window at first
     fake.start(2, static_cast<std::uint64_t>(n));
-    fake.list(Fake::listing("c0", "near", fake.now - 10000), HostState::healthy);
-    fake.list(Fake::listing("c1", "near", fake.now - 10000), HostState::healthy);
+    fake.list(Fake::listing("c0", "near", fake.now - 10000), EndpointState::healthy);
+    fake.list(Fake::listing("c1", "near", fake.now - 10000), EndpointState::healthy);
     fake.pass(30000);  // past the first steps of the climb, at half of the warm-up
     for (int i = 0; i < 2; ++i, ++all) {
       const std::string at = fake.arrive(std::to_string(i), n * 2 + i);
@@ -757,7 +758,7 @@
 }
 
 TEST(Moves, AHostThatLeavesTheListGivesUpItsConnectionsAlsoWhileFrozen) {
-  for (const HostState state : {HostState::draining, HostState::gone}) {
+  for (const EndpointState state : {EndpointState::draining, EndpointState::removed}) {
     Fake fake;
     fake.settings["discovery"] = "on_request";
     fake.start(2);
@@ -800,9 +801,9 @@
   fake.settings["nodes"] = 30.0;
   fake.start(0);
   const auto list = [&](const std::string& host, double weight) {
-    Listing entry = Fake::listing(host);
+    EndpointEntry entry = Fake::listing(host);
     entry.kind = "three", entry.size = weight;
-    fake.list(entry, HostState::healthy);
+    fake.list(entry, EndpointState::healthy);
   };
   for (int i = 0; i < 6; ++i) {
     list("h" + std::to_string(i), 3);
@@ -890,14 +891,14 @@
   fake.start(12);
   fake.pass(100000);
   for (int i = 0; i < 11; ++i) {
-    fake.list(Fake::listing("h" + std::to_string(i)), HostState::gone);
+    fake.list(Fake::listing("h" + std::to_string(i)), EndpointState::removed);
   }
   for (int i = 0; i < 20; ++i) {  // eleven gone hosts stand before the last one in many routes
     EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h11");
   }
 }
 
-TEST(Probes, WhereLittleComesAndLoadsAreReportedSteadyOnesAreFew) {
+TEST(HealthChecker, WhereLittleComesAndLoadsAreReportedSteadyOnesAreFew) {
   std::map<double, int> sent;
   for (const double price : {0.0, 0.004}) {
     Fake fake;
@@ -932,9 +933,9 @@
       }
     }
     for (int i = 0; i < 4; ++i) {
-      fake.list(Fake::listing("h" + std::to_string(i)), HostState::draining);
+      fake.list(Fake::listing("h" + std::to_string(i)), EndpointState::draining);
     }
-    fake.list(Fake::listing("new", "near", fake.now), HostState::healthy);
+    fake.list(Fake::listing("new", "near", fake.now), EndpointState::healthy);
     for (int i = 0; i < 40; ++i) {
       fake.now += 500;
       const std::string id = "b" + std::to_string(i);
@@ -955,7 +956,7 @@
       fake.settings["tenant.0.name"] = "t", fake.settings["tenant.0.open"] = 40.0;
     }
     fake.start(1);
-    fake.list(Fake::listing("far", "far"), HostState::healthy);
+    fake.list(Fake::listing("far", "far"), EndpointState::healthy);
     fake.pass(200000);
     auto at = spread(fake, 0, 30);
     EXPECT_EQ(at["h0"], told ? 12 : 30) << "up to half of the twenty for each host, then by the mean";
@@ -984,11 +985,11 @@
 TEST(Crowd, WithNoNearHostAtWeightTheFarOnesTakeWhatTheyHaveRoomFor) {
   Fake fake;
   fake.start(1);
-  fake.list(Fake::listing("far", "far"), HostState::healthy);
+  fake.list(Fake::listing("far", "far"), EndpointState::healthy);
   fake.pass(200000);
   spread(fake, 0, 40);
   for (int i = 0; i < 4; ++i) {
-    fake.end("s" + std::to_string(i), Outcome::lost, true);
+    fake.end("s" + std::to_string(i), Outcome::connection_lost, true);
   }
   EXPECT_GE(spread(fake, 40, 20)["far"], 4) << "a quarter of what hosts hold, not the least of two";
 }
@@ -1014,7 +1015,7 @@
     Fake fake;
     fake.start(40);
     for (; fake.arrive("g" + std::to_string(group), 1, "plain", false, group) != "h0"; ++group) {
-      fake.end("g" + std::to_string(group), Outcome::honoured, true);
+      fake.end("g" + std::to_string(group), Outcome::succeeded, true);
     }
   }
   int sent = 0;
@@ -1023,7 +1024,7 @@
     fake.settings["nodes"] = 200.0, fake.settings["fall_time"] = 10000.0;
     fake.settings["me"] = static_cast<double>(seed);
     fake.start(40, seed);
-    fake.list(Fake::listing("h0", "near", fake.now - 10000), HostState::healthy);
+    fake.list(Fake::listing("h0", "near", fake.now - 10000), EndpointState::healthy);
     fake.pass(40000);
     sent += fake.arrive("a", 1, "plain", false, group) == "h0" ? 1 : 0;
   }
@@ -1046,7 +1047,7 @@
     const std::string late = fake.tries["old"].back();
     const std::string cold = late == "h0" ? "h1" : "h0";
     const Tenths began = fake.now;
-    fake.list(Fake::listing(cold, "near", began), HostState::healthy);
+    fake.list(Fake::listing(cold, "near", began), EndpointState::healthy);
     for (int i = 0; fake.now < began + 60000; fake.now += 1000, ++i) {
       fake.delay("old", 900);  // the only warm host is late: a crowd
       const std::string at = fake.arrive("a" + std::to_string(i), n * 100 + i);
@@ -1076,7 +1077,7 @@
   }
   const auto fails = [&](const std::string& id) {
     for (std::size_t made = 0; made < fake.tries[id].size();) {
-      made = fake.tries[id].size(), fake.end(id, Outcome::no_answer);
+      made = fake.tries[id].size(), fake.end(id, Outcome::timed_out);
     }
   };
   for (int i = 0; i < 8; ++i) {
@@ -1123,7 +1124,7 @@
 
 TEST(Budget, FurtherTriesKeepWithinItWhateverTheFirstEndedWith) {
   for (const Outcome outcome :
-       {Outcome::error, Outcome::turned_away, Outcome::no_connection, Outcome::lost}) {
+       {Outcome::error, Outcome::rejected, Outcome::connect_failed, Outcome::connection_lost}) {
     Rationed fake;
     fake.fails("a", outcome);
     EXPECT_EQ(fake.further, 2u);
@@ -1179,14 +1180,14 @@
   for (int i = 0; i < 6; ++i) {
     const std::string id = "a" + std::to_string(i);
     fake.arrive(id, 100 * i);
-    fake.end(id, Outcome::turned_away);
+    fake.end(id, Outcome::rejected);
     EXPECT_EQ(fake.tries[id].size(), 2u);
     fake.stand(id);
     fake.pass(2 * kSecond);
   }
 }
 
-TEST(List, WithLittleTimeForAskingAnInquiryThatFailedIsMadeAgainWithinIt) {
+TEST(EndpointSnapshot, WithLittleTimeForAskingAnInquiryThatFailedIsMadeAgainWithinIt) {
   Fake fake;
   fake.settings["discovery"] = "on_request";
   fake.settings["ask_within"] = 8000.0;
--- a/tests/faults/reattach.cpp
+++ b/tests/policy/reconnect_policy_test.cpp
@@ -2,8 +2,8 @@
 // each up again, so no passing trouble ends one. Accepting: a passing failure turns no client away.
 #include <gtest/gtest.h>
 
-#include "faults/system_faults.h"
-#include "helper.h"
+#include "support/fixtures.h"
+#include "support/system_faults.h"
 
 using namespace dapplewharf;
 using faults::Call;
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-TEST(Reattach, ACallThatFailsForAMomentDoesNotEndAConnectionFromBefore) {
+TEST(ReconnectPolicy, ACallThatFailsForAMomentDoesNotEndAConnectionFromBefore) {
   const std::pair<Call, int> failing[] = {
       {Call::connect, ENETUNREACH}, {Call::connect, ENOBUFS},      {Call::connect, EADDRNOTAVAIL},
       {Call::connect, ENETDOWN},    {Call::connect, EAGAIN},       {Call::socket, ENFILE},
@@ -82,7 +82,7 @@
   }
 }
 
-TEST(Reattach, AHostsPassingTroubleDoesNotEndAConnectionFromBefore) {
+TEST(ReconnectPolicy, AHostsPassingTroubleDoesNotEndAConnectionFromBefore) {
   for (const std::string trouble :
        {"reset", "end", "BUSY\r\n", "ERR\r\n", "half a line", "refused", "unlisted"}) {
     SCOPED_TRACE(trouble);
@@ -120,7 +120,7 @@
   }
 }
 
-TEST(Reattach, AHostThatNeverAnswersTheLineIsAskedAgain) {
+TEST(ReconnectPolicy, AHostThatNeverAnswersTheLineIsAskedAgain) {
   const Cleared cleared;
   Net net;
   const int client = net.client(line_at("h2"));
@@ -132,7 +132,7 @@
   comes_up(net, client);
 }
 
-TEST(Reattach, WhatMayHaveRunIsNotSentAgainAndIsAnsweredAtOnce) {
+TEST(ReconnectPolicy, WhatMayHaveRunIsNotSentAgainAndIsAnsweredAtOnce) {
   const Cleared cleared;
   Net net(1024, true, [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
   const int client = net.client(line_at("h2"));
@@ -144,7 +144,7 @@
   EXPECT_EQ(further_connections(net, 1000), 0);
 }
 
-TEST(Reattach, BetweenAttemptsAnEndOfTheClientOrOfTheNodeIsHeeded) {
+TEST(ReconnectPolicy, BetweenAttemptsAnEndOfTheClientOrOfTheNodeIsHeeded) {
   const Cleared cleared;
   {
     Net net;
@@ -167,14 +167,14 @@
   }
 }
 
-TEST(Reattach, AHostThatNoListNamesIsAnsweredWithinABadClientsTime) {
+TEST(ReconnectPolicy, AHostThatNoListNamesIsAnsweredWithinABadClientsTime) {
   const Cleared cleared;
   Net net;
   const int client = net.client(line_at("nobody"));
   EXPECT_EQ(net.read(client, 5, kBadClientMs), "ERR\r\n");
 }
 
-TEST(Reattach, AHostsBusySaysThatAnUnrepeatableOneHasNeverRun) {
+TEST(ReconnectPolicy, AHostsBusySaysThatAnUnrepeatableOneHasNeverRun) {
   const Cleared cleared;
   Net net(1024, true, [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
   const int client = net.client(line_at("h1"));
@@ -183,7 +183,7 @@
 }
 
 // The module gives up a host's connections while some that stood there before are not up yet.
-TEST(Reattach, AHostInTroubleGivesUpNothingThatIsNotUpYet) {
+TEST(ReconnectPolicy, AHostInTroubleGivesUpNothingThatIsNotUpYet) {
   for (const bool up : {false, true}) {
     Fake fleet;
     fleet.silent = {"h1"};
--- a/tests/cold_fleet.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdio>
 
-#include "helper.h"
+#include "support/fixtures.h"
 
 using namespace dapplewharf;
 
@@ -44,7 +44,7 @@
 }
 
 Measured play(const Case& one, std::uint64_t seed) {
-  Chance chance(seed);
+  RandomGenerator chance(seed);
   const Tenths start = 1000000;
   std::vector<std::unique_ptr<Fake>> nodes;
   std::vector<double> part;  // of the traffic
@@ -83,11 +83,11 @@
         for (const auto& [host, count] : std::exchange(mine, {})) {
           held[host] -= count;
         }
-        fake->list(Fake::listing("cold", "near", born), HostState::healthy);
+        fake->list(Fake::listing("cold", "near", born), EndpointState::healthy);
       }
       fake->now = now;
       if (age == 0) {
-        fake->list(Fake::listing("cold", "near", born), HostState::healthy);
+        fake->list(Fake::listing("cold", "near", born), EndpointState::healthy);
       }
       if (age % (5 * kTick) == 0) {
         for (const auto& [host, count] : held) {
@@ -115,7 +115,7 @@
           sent.push_back(now), ++most.sent;
         }
         fake->stand(id);
-        fake->end(id, Outcome::honoured, true);
+        fake->end(id, Outcome::succeeded, true);
       }
     }
     while (!sent.empty() && static_cast<double>(now - sent.front()) >= kFallTime) {
--- a/tests/helper.h
+++ b/tests/support/fixtures.h
@@ -1,5 +1,5 @@
-// What the stories share: a tiny fake fleet that feeds a Choice and remembers what it asked for, and a node
-// on loopback sockets.
+// What the stories share: a tiny fake fleet that feeds a LoadBalancer and remembers what it asked for, and a
+// node on loopback sockets.
 #pragma once
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -8,18 +8,18 @@
 #include <deque>
 #include <set>
 
-#include "choice.h"
 #include "node/node.h"
+#include "policy/load_balancer.h"
 
 namespace dapplewharf {
 
 struct Fake {
-  Settings settings{{"nodes", 1.0},           {"zone", "near"},           {"cold_from", 0.3},
-                    {"cold_time", 80000.0},   {"fall_time", 20000.0},     {"fall_multiple", 2.5},
-                    {"drain_grace", 10000.0}, {"max_tries", 4.0},         {"probes_allowed", 1.0},
-                    {"come_back_told", 1.0},  {"max_come_back", 15000.0}, {"message_goal.0", 500.0},
-                    {"discovery", "pushed"}};
-  std::unique_ptr<Choice> node;
+  SettingsMap settings{{"nodes", 1.0},           {"zone", "near"},           {"cold_from", 0.3},
+                       {"cold_time", 80000.0},   {"fall_time", 20000.0},     {"fall_multiple", 2.5},
+                       {"drain_grace", 10000.0}, {"max_tries", 4.0},         {"probes_allowed", 1.0},
+                       {"come_back_told", 1.0},  {"max_come_back", 15000.0}, {"message_goal.0", 500.0},
+                       {"discovery", "pushed"}};
+  std::unique_ptr<LoadBalancer> node;
   Tenths now = 1000000;
   std::vector<Action> last;  // the answer to the latest event
   std::map<std::string, std::vector<std::string>> tries;
@@ -43,12 +43,13 @@
     settings[at + "latency_goal"] = 8000.0;
   }
 
-  static Listing listing(const std::string& host, const std::string& zone = "near", Tenths started = 0) {
-    return {host, zone, zone == "near" ? 1 : 2, HostState::healthy, 1.0, started};
+  static EndpointEntry listing(const std::string& host, const std::string& zone = "near",
+                               Tenths started = 0) {
+    return {host, zone, zone == "near" ? 1 : 2, EndpointState::healthy, 1.0, started};
   }
 
   void start(int hosts, std::uint64_t seed = 7) {
-    node = std::make_unique<Choice>(settings, seed, now);
+    node = std::make_unique<LoadBalancer>(settings, seed, now);
     Event list;
     list.kind = EventKind::list_copy;
     for (int i = 0; i < hosts; ++i) {
@@ -59,7 +60,7 @@
 
   virtual ~Fake() = default;
   virtual const std::vector<Action>& tell(const Event& event) {
-    last = node->take(now, {event});
+    last = node->handle_events(now, {event});
     for (const Action& action : last) {
       if (action.kind == ActionKind::setup_try) {
         tries[action.id].push_back(action.host);
@@ -74,7 +75,7 @@
     return last;
   }
 
-  void list(Listing entry, HostState state) {
+  void list(EndpointEntry entry, EndpointState state) {
     Event event;
     event.kind = EventKind::list_changes;
     entry.state = state;
@@ -151,9 +152,9 @@
       Event answer;
       answer.kind = EventKind::probe_ended;
       answer.host = asked[i].host;
-      answer.outcome = silent.count(answer.host)    ? Outcome::no_answer
+      answer.outcome = silent.count(answer.host)    ? Outcome::timed_out
                        : failing.count(answer.host) ? Outcome::error
-                                                    : Outcome::honoured;
+                                                    : Outcome::succeeded;
       if (load >= 0) {
         answer.report = {load};
       }
@@ -193,7 +194,7 @@
 // A node on loopback sockets, with four hosts behind one listener and a discovery that says what it is told
 // to. All in one thread: whoever waits lets the node's loop turn meanwhile.
 struct Net {
-  Loop loop;
+  EventLoop loop;
   std::unique_ptr<Node> node;
   Configuration told;
   Socket hosts, discovery, call;
--- a/tests/faults/system_faults.cpp
+++ b/tests/support/system_faults.cpp
@@ -1,4 +1,4 @@
-#include "faults/system_faults.h"
+#include "support/system_faults.h"
 
 #include <fcntl.h>
 #include <netinet/in.h>
