--- a/src/node/connection_table.cpp
+++ b/src/node/connection_table.cpp
@@ -238,7 +238,7 @@
     }
     // Danger: commands poured in behind the first one would reach the host of that one. A client waits.
     callbacks_.client_left(ticket);
-    end_try(ticket, *link, TerminationReason::client);
+    end_try(ticket, *link, TerminationReason::client_gone);
     return refuse(ticket, *link, "more before its answer");
   }
   if (link->phase == Phase::greeting) {
@@ -250,7 +250,7 @@
   // The client has gone, or ends its sending: it gets an answer in case it still listens.
   ++counters_.left;
   callbacks_.client_left(ticket);
-  end_try(ticket, *link, TerminationReason::client);
+  end_try(ticket, *link, TerminationReason::client_gone);
   if (got) {
     close_after(ticket, *link, "ERR\r\n");
   } else {
@@ -336,7 +336,7 @@
     return;
   }
   if (!address) {
-    return end_try(ticket, *link, TerminationReason::broken);
+    return end_try(ticket, *link, TerminationReason::connection_broken);
   }
   const Tenths connect_until =
       std::min(link->try_until, loop_.now() + (connect_time > 0 ? connect_time : limits_.connect_time));
@@ -355,7 +355,7 @@
   }
   switch (dial(address, limits_.descriptors, kKeptBack, link->host.socket)) {
     case Dial::refused:
-      return end_try(ticket, *link, TerminationReason::broken);
+      return end_try(ticket, *link, TerminationReason::connection_broken);
     case Dial::no_descriptor:
       return end_try(ticket, *link, TerminationReason::no_descriptor);
     case Dial::local_failure:
@@ -380,7 +380,7 @@
 void ConnectionTable::times_out(Handle ticket, ProxiedConnection& link, Tenths when) {
   loop_.at(link.deadline, when, [this, ticket] {
     if (ProxiedConnection* late = links_.find(ticket)) {
-      end_try(ticket, *late, TerminationReason::time_out);
+      end_try(ticket, *late, TerminationReason::timed_out);
     }
   });
 }
@@ -403,7 +403,7 @@
     return false;
   }
   if (loop_.now() >= link->try_until) {
-    return end_try(ticket, *link, TerminationReason::time_out), false;
+    return end_try(ticket, *link, TerminationReason::timed_out), false;
   }
   if (!callbacks_.may_send(ticket)) {
     return end_try(ticket, *link, TerminationReason::withdrawn), false;
@@ -414,7 +414,7 @@
 bool ConnectionTable::deliver(Handle ticket, ProxiedConnection& link) {
   if (link.reach == AttemptProgress::not_connected) {
     if (!link.host.socket.connected()) {
-      return end_try(ticket, link, TerminationReason::broken), false;
+      return end_try(ticket, link, TerminationReason::connection_broken), false;
     }
     if (!may_still_send(ticket)) {
       return false;
@@ -428,7 +428,7 @@
   }
   const auto given = link.host.socket.send(link.host.out.data(), link.host.out.size());
   if (!given) {
-    return end_try(ticket, link, TerminationReason::broken), false;
+    return end_try(ticket, link, TerminationReason::connection_broken), false;
   }
   link.host.out.erase(0, *given);
   if (link.host.out.empty()) {
@@ -473,14 +473,14 @@
   bool ended = false;
   const auto got = link.host.socket.receive(link.first, kBuffer - link.first.size(), ended);
   if (!got) {
-    return end_try(ticket, link, TerminationReason::broken);
+    return end_try(ticket, link, TerminationReason::connection_broken);
   }
   const std::size_t end = link.first.find('\n');
   if (end == std::string::npos) {
     if (ended) {
       end_try(ticket, link, TerminationReason::closed);
     } else if (link.first.size() > kLongestLine) {
-      end_try(ticket, link, TerminationReason::nonsense);
+      end_try(ticket, link, TerminationReason::malformed_answer);
     }
     return;
   }
@@ -495,11 +495,11 @@
     if (may_log()) {
       spdlog::warn("a host answered nonsense: {}", link.first.substr(0, std::min<std::size_t>(end, 80)));
     }
-    return end_try(ticket, link, TerminationReason::nonsense);
+    return end_try(ticket, link, TerminationReason::malformed_answer);
   }
   loop_.cancel(link.deadline);
   link.phase = Phase::relaying;
-  link.reach = AttemptProgress::up;
+  link.reach = AttemptProgress::established;
   link.flowed = loop_.now();
   ++counters_.up;
   ++counters_.honoured;
@@ -640,7 +640,7 @@
   if (!is_way_broken(errno) || link.client.out_ended) {
     return broke(ticket, link, link.client);
   }
-  end_try(ticket, link, TerminationReason::broken);
+  end_try(ticket, link, TerminationReason::connection_broken);
   move(ticket);
 }
 
@@ -652,11 +652,11 @@
 }
 
 void ConnectionTable::finished(Handle ticket, ProxiedConnection& link) {
-  const TerminationReason cause = link.last == Word::bye    ? TerminationReason::bye
-                                  : link.last == Word::move ? TerminationReason::move
-                                  : link.client_first       ? TerminationReason::client
+  const TerminationReason cause = link.last == Word::bye    ? TerminationReason::completed
+                                  : link.last == Word::move ? TerminationReason::migrated
+                                  : link.client_first       ? TerminationReason::client_gone
                                   : link.host.in_ended      ? TerminationReason::closed
-                                                            : TerminationReason::broken;
+                                                            : TerminationReason::connection_broken;
   end_try(ticket, link, cause);
   drop(ticket);
 }
--- a/src/node/connection_table.h
+++ b/src/node/connection_table.h
@@ -8,32 +8,11 @@
 #include "base/counters.h"
 #include "base/event_loop.h"
 #include "base/socket.h"
+#include "node/attempt_result.h"
 #include "wire/lines.h"
 
 namespace dapplewharf {
 
-// How far a setup try had come, and what ended it.
-enum class AttemptProgress { not_connected, partly_written, written, up };
-enum class TerminationReason {
-  no_descriptor,
-  local_failure,  // this machine could not connect for now
-  time_out,
-  broken,  // refused, reset
-  closed,  // an orderly end without a word
-  busy,    // the host's words
-  error,
-  nonsense,
-  bye,
-  move,
-  client,     // the client went first
-  withdrawn,  // by the last look, before its first byte
-  cancelled,  // by this node
-};
-struct AttemptResult {
-  AttemptProgress reach = AttemptProgress::not_connected;
-  TerminationReason cause = TerminationReason::broken;
-};
-
 class ConnectionTable {
  public:
   struct Callbacks {
--- a/src/node/health_checker.cpp
+++ b/src/node/health_checker.cpp
@@ -1,6 +1,7 @@
 #include "node/health_checker.h"
 
 #include "policy/notes.h"
+#include "wire/lines.h"
 
 namespace dapplewharf {
 namespace {
@@ -26,7 +27,7 @@
   loop_.at(line.deadline, loop_.now() + limits_.connect_time + kProbeSlack, [this, host] {
     const auto found = lines_.find(host);
     if (found != lines_.end()) {
-      over(host, found->second, TerminationReason::time_out, false);
+      over(host, found->second, TerminationReason::timed_out, false);
     }
   });
   if (line.address != address) {  // it moved
@@ -59,7 +60,7 @@
   const Dial dialled = to ? dial(*to, limits_.descriptors, kProbesLeave, line.socket) : Dial::refused;
   if (dialled != Dial::begun) {
     return over(host, line,
-                dialled == Dial::refused         ? TerminationReason::broken
+                dialled == Dial::refused         ? TerminationReason::connection_broken
                 : dialled == Dial::no_descriptor ? TerminationReason::no_descriptor
                                                  : TerminationReason::local_failure,
                 false);
@@ -75,7 +76,7 @@
   Line& line = found->second;
   if (line.reach == AttemptProgress::not_connected) {
     if (!line.socket.connected()) {
-      return over(host, line, TerminationReason::broken, false);
+      return over(host, line, TerminationReason::connection_broken, false);
     }
     line.reach = AttemptProgress::partly_written;
   }
@@ -98,29 +99,29 @@
       line.socket.close();
       return dial_out(host, line);
     }
-    return over(host, line, ended ? TerminationReason::closed : TerminationReason::broken, false);
+    return over(host, line, ended ? TerminationReason::closed : TerminationReason::connection_broken, false);
   }
   loop_.want(line.watched, line.out && line.sent < kPing.size() ? POLLIN | POLLOUT : POLLIN);
   const std::size_t end = line.in.find('\n');
   if (end == std::string::npos) {
     if (line.in.size() > kLongestLine) {
-      over(host, line, TerminationReason::nonsense, false);
+      over(host, line, TerminationReason::malformed_answer, false);
     }
     return;
   }
   const Word word = word_of(std::string_view(line.in).substr(0, end + 1));
   line.in.erase(0, end + 1);
-  const TerminationReason cause = word == Word::pong    ? TerminationReason::bye
+  const TerminationReason cause = word == Word::pong    ? TerminationReason::completed
                                   : word == Word::error ? TerminationReason::error
                                   : word == Word::busy  ? TerminationReason::busy
-                                                        : TerminationReason::nonsense;
-  over(host, line, cause, cause == TerminationReason::bye || cause == TerminationReason::error);
+                                                        : TerminationReason::malformed_answer;
+  over(host, line, cause, cause == TerminationReason::completed || cause == TerminationReason::error);
 }
 
 void HealthChecker::over(const std::string& host, Line& line, TerminationReason cause, bool keep) {
   Probed probed{{line.reach, cause}, loop_.now() - line.since, 0};
   // Danger: an error comes at once, whatever waits there; as the least time it makes a sound host look slow.
-  if (cause == TerminationReason::bye) {
+  if (cause == TerminationReason::completed) {
     probed.answer_after = loop_.now() - line.written;
   }
   const bool told = std::exchange(line.out, false);
--- a/src/node/health_checker.h
+++ b/src/node/health_checker.h
@@ -1,10 +1,14 @@
 // HealthChecker: PING to a host on a connection kept for it, opened when there is none. Owns those
 // connections; tells how each probe ended and never decides when to probe.
 #pragma once
+#include <functional>
+#include <map>
+#include <string>
+
 #include "base/counters.h"
 #include "base/event_loop.h"
 #include "base/socket.h"
-#include "node/connection_table.h"
+#include "node/attempt_result.h"
 
 namespace dapplewharf {
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -13,19 +13,14 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Tenths kLookEvery = 100 * kMs;    // at how long lines have been unanswered
-constexpr Tenths kMeterSpan = 2 * kSecond;  // as often as clients send a line
+constexpr Tenths kLookEvery = 100 * kMs;  // at how long lines have been unanswered
 constexpr Tenths kTellEvery = kSecond;
-constexpr Tenths kProbeHolds = 5 * kSecond;    // what a probe showed, when none follows
-constexpr Tenths kLeastHolds = 120 * kSecond;  // the least that a probe took: the way there and back
-constexpr Tenths kStillComing = kSecond;       // clients go on coming that long after SIGTERM
+constexpr Tenths kStillComing = kSecond;  // clients go on coming that long after SIGTERM
 constexpr Tenths kLongestWait =
     3 * kSecond;  // SIGKILL comes after the longest expiry, or after this, and 0.7 s
 constexpr Tenths kBeforeKill = 600 * kMs;
 constexpr Tenths kHeldUp = 50 * kMs;  // this process was: what it measured is its own delay
-constexpr double kOwnPart = 1.0 / 5;  // of a goal: what a message takes where nothing else is done
 constexpr double kSpeeds = 2;         // how far hosts at rest differ, beyond what their sizes say
-constexpr Tenths kNoise = 15;         // a probe's time over the least that says nothing
 constexpr double kHeldStep = 0.5;     // connections: less is no news
 // Danger: parsed, a list takes up to twenty times its size. With 32 MB that is 1 MiB, 1,024 hosts of 1,024
 // bytes.
@@ -37,104 +32,6 @@
 
 }  // namespace
 
-void LatencyEstimator::probed(Tenths now, Tenths took) {
-  probes_.emplace_back(now, took);
-  while (now - probes_.front().first >= kLeastHolds) {
-    probes_.pop_front();
-  }
-}
-
-std::optional<Tenths> LatencyEstimator::least() const {
-  if (probes_.empty()) {
-    return std::nullopt;
-  }
-  const auto shorter = [](const auto& a, const auto& b) { return a.second < b.second; };
-  return std::min_element(probes_.begin(), probes_.end(), shorter)->second;
-}
-
-// Danger: a host that is slow still echoes lines at once; only what waits in its queue shows it.
-std::optional<Tenths> LatencyEstimator::tell(Tenths now, Tenths goal, const std::vector<Tenths>& unanswered,
-                                             Tenths at_rest) {
-  const Tenths limit = goal / 3;
-  while (!lines_.empty() && now - lines_.front().first >= kMeterSpan) {
-    lines_.pop_front();
-  }
-  std::vector<Tenths> delays;
-  for (const Tenths age : unanswered) {
-    if (age > limit) {
-      delays.push_back(age);  // younger ones say nothing yet
-    }
-  }
-  for (const auto& [when, delay] : lines_) {
-    delays.push_back(delay);
-  }
-  std::optional<Tenths> delay;
-  if (!delays.empty()) {
-    const auto middle = delays.begin() + static_cast<std::ptrdiff_t>(delays.size() / 2);
-    std::nth_element(delays.begin(), middle, delays.end());
-    delay = *middle;
-  }
-  if (!probes_.empty() && now - probes_.back().first < kProbeHolds) {
-    // Danger: a host that this node has only ever seen slow seems to be at rest.
-    const Tenths own = std::max<Tenths>(*this->least(), 1);
-    // One probe alone may have come amid the set-ups of a start.
-    const Tenths least = at_rest > 0 && probes_.size() > 1 ? std::min(own, at_rest) : own;
-    const Tenths last = probes_.back().second;
-    const Tenths waited = last - least;
-    // A message's own part of its goal grows as the probe has; the rest of the probe's time it waits as well.
-    const auto stretched =
-        static_cast<Tenths>(kOwnPart * static_cast<double>(goal * last) / static_cast<double>(least));
-    delay = std::max(delay.value_or(0), waited > kNoise ? std::max(waited, stretched) : waited);
-  }
-  if (!delay) {
-    return std::nullopt;
-  }
-  const bool over = *delay > limit;
-  if (over ? over_ && now - told_at_ < kTellEvery : !over_) {
-    return std::nullopt;
-  }
-  over_ = over;
-  told_at_ = now;
-  return delay;
-}
-
-double baseline_service_time(std::vector<double> works) {
-  if (works.empty()) {
-    return 0;
-  }
-  std::sort(works.begin(), works.end());
-  return works[(works.size() - 1) / 3];
-}
-
-Outcome outcome_of(AttemptResult end) {
-  switch (end.cause) {
-    case TerminationReason::withdrawn:
-      return Outcome::withdrawn;
-    case TerminationReason::no_descriptor:
-    case TerminationReason::local_failure:
-      return Outcome::not_sent;  // says nothing of the host
-    case TerminationReason::client:
-    case TerminationReason::cancelled:
-    case TerminationReason::move:
-      return Outcome::cancelled;
-    case TerminationReason::bye:
-      return Outcome::succeeded;
-    case TerminationReason::busy:
-      return Outcome::rejected;
-    case TerminationReason::error:
-    case TerminationReason::nonsense:
-      return Outcome::error;
-    case TerminationReason::time_out:
-    case TerminationReason::broken:
-    case TerminationReason::closed:
-      break;
-  }
-  if (end.reach < AttemptProgress::written) {
-    return Outcome::connect_failed;  // its last byte never went out
-  }
-  return end.cause == TerminationReason::time_out ? Outcome::timed_out : Outcome::connection_lost;
-}
-
 Node::Node(EventLoop& loop, Configuration configuration)
     : loop_(loop),
       configuration_(std::move(configuration)),
@@ -154,7 +51,7 @@
               [this](Handle at, Tenths delay) {
                 const HeldRequest* found = held(at);
                 if (found && loop_.late() < kHeldUp) {
-                  meters_[found->host].line_back(loop_.now(), delay);
+                  meters_[found->host].record_line(loop_.now(), delay);
                 }
               },
               [this](Handle at, double load) {
@@ -178,7 +75,7 @@
                 event.outcome = outcome_of(probed.end);
                 event.took = probed.took;
                 if (probed.answer_after > 0 && loop_.late() < kHeldUp) {
-                  meters_[host].probed(loop_.now(), probed.answer_after);
+                  meters_[host].record_health_check(loop_.now(), probed.answer_after);
                 }
               }),
       peers_(loop, counters_, configuration_.peers, configuration_.seed),
@@ -381,8 +278,8 @@
   const bool again = refusal == Violation::none && pause && !stopping_;
   spdlog::log(again ? spdlog::level::info : spdlog::level::warn,
               "request {} from before: attempt at host {} ended after ms {}, reach {}, cause {}; {}",
-              held.request, held.host, (loop_.now() - held.sent) / kMs, static_cast<int>(end.reach),
-              static_cast<int>(end.cause),
+              held.request, held.host, (loop_.now() - held.sent) / kMs, name_of(end.progress),
+              name_of(end.reason),
               again                        ? "again in ms " + std::to_string(*pause / kMs)
               : refusal != Violation::none ? std::string("given up: ") + name_of(refusal)
               : stopping_                  ? std::string("given up: the node ends")
@@ -409,7 +306,7 @@
   }
   found->client_done = true;
   if (found->between_attempts) {
-    on_attempt_ended(ticket, {AttemptProgress::not_connected, TerminationReason::client});
+    on_attempt_ended(ticket, {AttemptProgress::not_connected, TerminationReason::client_gone});
   }
 }
 
@@ -438,8 +335,7 @@
   }
   const Outcome outcome = outcome_of(end);
   if (!found->between_attempts) {
-    ledger_.ended(id_of(ticket), outcome != Outcome::rejected && outcome != Outcome::connect_failed &&
-                                     outcome != Outcome::not_sent && outcome != Outcome::withdrawn);
+    ledger_.ended(id_of(ticket), may_have_run(outcome));
   }
   if (found->handed_over && !found->up && !found->client_done && reattach_later(ticket, *found, end)) {
     return;
@@ -555,7 +451,7 @@
   std::vector<double> works;
   for (const auto& [host, size] : near_) {
     if (const auto meter = meters_.find(host); meter != meters_.end()) {
-      if (const auto least = meter->second.least()) {
+      if (const auto least = meter->second.shortest_health_check()) {
         works.push_back(size * static_cast<double>(*least));
       }
     }
@@ -568,7 +464,7 @@
   for (auto& [host, seen] : hosts) {
     const auto near = near_.find(host);
     const Tenths at_rest = near == near_.end() ? 0 : static_cast<Tenths>(kSpeeds * work / near->second);
-    if (const auto delay = meters_[host].tell(loop_.now(), shortest_goal_, seen.second, at_rest)) {
+    if (const auto delay = meters_[host].report(loop_.now(), shortest_goal_, seen.second, at_rest)) {
       tell(EventKind::delay_told, seen.first, host).figure = static_cast<double>(*delay);
     }
   }
@@ -682,7 +578,7 @@
       const Handle ticket = found->second.ticket;
       ledger_.answered(action.id);
       found->second.client_done = true;
-      on_attempt_ended(ticket, {AttemptProgress::up, TerminationReason::cancelled});
+      on_attempt_ended(ticket, {AttemptProgress::established, TerminationReason::cancelled});
       return relay_.move(ticket);
     }
     case ActionKind::probe:
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -2,7 +2,6 @@
 // what is known of each attachment's tries and how long hosts take for a message. Never chooses a host, a
 // further try, a rejection or a move.
 #pragma once
-#include <deque>
 #include <unordered_map>
 
 #include "base/counters.h"
@@ -11,6 +10,7 @@
 #include "node/endpoint_discovery.h"
 #include "node/gossip_socket.h"
 #include "node/health_checker.h"
+#include "node/latency_estimator.h"
 #include "node/shadow.h"
 #include "policy/load_balancer.h"
 #include "policy/reconnect_policy.h"
@@ -18,33 +18,6 @@
 
 namespace dapplewharf {
 
-// How long a message takes at a host. Lines are measured on all connections to it; a probe waits there like
-// any work, and what it takes over the least that one took is time that the host made it wait.
-class LatencyEstimator {
- public:
-  void line_back(Tenths now, Tenths delay) { lines_.emplace_back(now, delay); }
-  void probed(Tenths now, Tenths took);
-  std::optional<Tenths> least() const;  // that a probe took lately
-  // What is to be told now, if anything: once a second while it is over a third of `goal`, once more when
-  // under. `at_rest`: what a probe takes there at most while nothing is wrong, as other hosts show; 0:
-  // unknown.
-  std::optional<Tenths> tell(Tenths now, Tenths goal, const std::vector<Tenths>& unanswered,
-                             Tenths at_rest = 0);
-
- private:
-  std::deque<std::pair<Tenths, Tenths>> lines_;  // when, how long
-  std::deque<std::pair<Tenths, Tenths>> probes_;
-  Tenths told_at_ = 0;
-  bool over_ = false;
-};
-
-// Work is done the faster the larger a host is: what probes take at rest, times the sizes, is alike at all
-// hosts of a zone. What it is, of what each shows; one that answers far too soon is no measure for the rest,
-// so the lowest third is passed. 0 where none shows any.
-double baseline_service_time(std::vector<double> works);
-
-Outcome outcome_of(AttemptResult end);
-
 class Node {
  public:
   Node(EventLoop& loop,
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -150,12 +150,13 @@
 TEST(Errors, WhatProvesThatATryNeverRan) {
   for (const AttemptProgress reach : {AttemptProgress::not_connected, AttemptProgress::partly_written}) {
     for (const TerminationReason cause :
-         {TerminationReason::broken, TerminationReason::closed, TerminationReason::time_out}) {
+         {TerminationReason::connection_broken, TerminationReason::closed, TerminationReason::timed_out}) {
       EXPECT_EQ(outcome_of({reach, cause}), Outcome::connect_failed);
     }
   }
-  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::broken}), Outcome::connection_lost);
-  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::time_out}), Outcome::timed_out);
+  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::connection_broken}),
+            Outcome::connection_lost);
+  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::timed_out}), Outcome::timed_out);
   EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::busy}), Outcome::rejected);
   EXPECT_EQ(outcome_of({AttemptProgress::not_connected, TerminationReason::no_descriptor}),
             Outcome::not_sent);
@@ -185,16 +186,16 @@
   LatencyEstimator meter;
   Tenths now = 100000;
   for (int i = 0; i < 5; ++i) {
-    meter.probed(now, 30);
+    meter.record_health_check(now, 30);
   }
-  EXPECT_FALSE(meter.tell(now, 500, {}));
-  meter.probed(now, 630);
-  EXPECT_GE(meter.tell(now, 500, {}), 600);
-  EXPECT_FALSE(meter.tell(now + 5000, 500, {}));
-  EXPECT_TRUE(meter.tell(now + 10000, 500, {}));
-  meter.probed(now + 11000, 35);
-  EXPECT_LT(meter.tell(now + 11000, 500, {}), 100);
-  EXPECT_FALSE(meter.tell(now + 22000, 500, {}));
+  EXPECT_FALSE(meter.report(now, 500, {}));
+  meter.record_health_check(now, 630);
+  EXPECT_GE(meter.report(now, 500, {}), 600);
+  EXPECT_FALSE(meter.report(now + 5000, 500, {}));
+  EXPECT_TRUE(meter.report(now + 10000, 500, {}));
+  meter.record_health_check(now + 11000, 35);
+  EXPECT_LT(meter.report(now + 11000, 500, {}), 100);
+  EXPECT_FALSE(meter.report(now + 22000, 500, {}));
 }
 
 TEST(LatencyEstimator, AHostThatWasNeverSeenAtRestIsJudgedByTheOthers) {
@@ -204,19 +205,19 @@
   LatencyEstimator alone;
   LatencyEstimator among;
   for (LatencyEstimator* meter : {&alone, &among}) {
-    meter->probed(99000, 178);
+    meter->record_health_check(99000, 178);
   }
-  EXPECT_FALSE(among.tell(99000, 500, {}, 64)) << "one probe alone says nothing";
+  EXPECT_FALSE(among.report(99000, 500, {}, 64)) << "one probe alone says nothing";
   for (LatencyEstimator* meter : {&alone, &among}) {
-    meter->probed(100000, 178);
+    meter->record_health_check(100000, 178);
   }
-  EXPECT_FALSE(alone.tell(100000, 500, {}));
-  EXPECT_GT(among.tell(100000, 500, {}, static_cast<Tenths>(2 * work / 2.5)), 250);
+  EXPECT_FALSE(alone.report(100000, 500, {}));
+  EXPECT_GT(among.report(100000, 500, {}, static_cast<Tenths>(2 * work / 2.5)), 250);
 }
 
 TEST(LatencyEstimator, LinesWithoutAnswerCountWithTheirAge) {
   LatencyEstimator meter;
-  EXPECT_EQ(meter.tell(100000, 500, {0, 20000, 21000}), 21000);
+  EXPECT_EQ(meter.report(100000, 500, {0, 20000, 21000}), 21000);
 }
 
 namespace {
@@ -385,8 +386,9 @@
     idle.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
   }
   std::optional<TerminationReason> probed;
-  HealthChecker probes(loop, counters, limits,
-                       [&](const std::string&, const HealthChecker::Probed& end) { probed = end.end.cause; });
+  HealthChecker probes(loop, counters, limits, [&](const std::string&, const HealthChecker::Probed& end) {
+    probed = end.end.reason;
+  });
   probes.probe("h0", at);
   EXPECT_EQ(probed, TerminationReason::no_descriptor);
   bool lost = false;
