--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -1,24 +1,50 @@
+// Printing of the counters. Design: docs/oncall.md, "Counters".
 #include "base/counters.h"
 
 #include <spdlog/fmt/fmt.h>
 
+#include <string_view>
+
 namespace dapplewharf {
+namespace {
+
+// Where the line with the former names began a new group, by the former name of the group's first counter.
+std::string_view group_before(std::string_view former_name) {
+  if (former_name == "accepted") {
+    return " taken-in";
+  }
+  if (former_name == "tries") {
+    return " | sent";
+  }
+  if (former_name == "up") {
+    return " | tries";
+  }
+  if (former_name == "honoured") {
+    return " | answered";
+  }
+  if (former_name == "told") {
+    return " | words";
+  }
+  return former_name == "accept-failures" ? " | faults" : "";
+}
+
+}  // namespace
+
+std::string Counters::format() const {
+  std::string line = "counters";
+  for (const CounterDescription& counter : kCounterTable) {
+    line += fmt::format(" {}={}", counter.name, this->*counter.value);
+  }
+  return line;
+}
 
-std::string Counters::told() const {
-  return fmt::format(
-      "counters taken-in accepted={} greeted={} attachments={} handed-over={} malformed={} evicted={} "
-      "lists={} "
-      "lists-lost={} reloads={} reloads-refused={}"
-      " | sent tries={} written={} probes={} list-calls={} bytes-to-hosts={} bytes-to-clients={}"
-      " | tries up={} error={} turned-away={} unanswered={} not-connected={} lost={} ended={} cancelled={}"
-      " not-sent={} withdrawn={} | answered honoured={} rejected={} scrapped={} moved={} left={} overdue={} "
-      "no-descriptor={} | words told={} heard={} passed={}"
-      " | faults accept-failures={} local-failures={} reattached={} violations={}",
-      accepted, greeted, taken, handed_over, malformed, evicted, lists, lists_lost, reloads, reloads_refused,
-      tries, tries_written, probes, list_calls, bytes_to_hosts, bytes_to_clients, up, errors, turned_away,
-      unanswered, not_connected, lost, ended, cancelled, not_sent, withdrawn, honoured, rejected, scrapped,
-      moved, left, overdue, no_descriptor, words_told, words_heard, words_passed, accept_failures,
-      local_failures, reattached, violations);
+std::string Counters::format_with_former_names() const {
+  std::string line = "counters";
+  for (const CounterDescription& counter : kCounterTable) {
+    line += group_before(counter.former_name);
+    line += fmt::format(" {}={}", counter.former_name, this->*counter.value);
+  }
+  return line;
 }
 
 }  // namespace dapplewharf
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -128,8 +128,8 @@
 void EndpointDiscovery::call(const std::string& target, bool waits) {
   const Tenths patience = waits ? kWait + (hung_ ? kLongPatience : kPatience) : Backoff::kPatience;
   out_ = true;
-  ++counters_.list_calls;
-  spdlog::debug("discovery is asked, {}", target);
+  ++counters_.endpoint_list_calls;
+  spdlog::debug("endpoint_list_called target={}", target);
   request_ = get_request(address_, target);
   called_at_ = loop_.now();
   stale_ = static_cast<bool>(socket_);
@@ -194,8 +194,8 @@
     return;
   }
   if (answer.state == Answer::State::bad || answer.status != 200) {
-    spdlog::warn("discovery answered {}",
-                 answer.state == Answer::State::bad ? "no HTTP" : "status " + std::to_string(answer.status));
+    spdlog::warn("endpoint_list_refused http={} status={}", answer.state != Answer::State::bad,
+                 answer.status);
     return broken(false);
   }
   answered(answer.body, answer.closes || ended);
@@ -206,7 +206,7 @@
   try {
     list = list_of(json::parse(body), starts, loop_.now(), EventLoop::unix_now());
   } catch (const std::exception& error) {  // danger: a list that is half garbage; the last good one is kept
-    spdlog::warn("discovery's list is not usable: {}", error.what());
+    spdlog::warn("endpoint_list_unusable error=\"{}\"", error.what());
     return broken(false);
   }
   out_ = false;
@@ -214,8 +214,8 @@
   if (closes) {
     hang_up();
   }
-  spdlog::debug("discovery told version {}, hosts {}, after ms {}", list.version, list.listings.size(),
-                (loop_.now() - called_at_) / kMs);
+  spdlog::debug("endpoint_list_received version={} endpoints={} duration_ms={}", list.version,
+                list.listings.size(), (loop_.now() - called_at_) / kMs);
   const bool news = list.version != version_;
   // Danger: a service that counts anew tells changes since its own beginning only; what came before is
   // missed.
@@ -227,7 +227,7 @@
     fetching_ = anew_ = false;
   }
   owed_by_ = 0, hung_ = false;
-  ++counters_.lists;
+  ++counters_.endpoint_lists;
   // Danger: a service that answers without waiting would be asked without end.
   if (!news && loop_.now() - called_at_ < kPause) {
     loop_.at(deadline_, loop_.now() + kPause, [this] { next(); });
@@ -243,11 +243,11 @@
     stale_ = false;
     return dial_out();
   }
-  spdlog::warn("discovery's answer is lost after {} ms", (loop_.now() - called_at_) / kMs);
+  spdlog::warn("endpoint_list_call_lost duration_ms={}", (loop_.now() - called_at_) / kMs);
   hang_up();
   loop_.cancel(deadline_);
   out_ = false;
-  ++counters_.lists_lost;
+  ++counters_.endpoint_list_calls_lost;
   // Danger: what a silent watch or a place left behind has missed counts as told soon, and a host that drains
   // is still sent to. Until then it is asked for again and again, at once where a watch hung; only then it is
   // a loss, with growing waits. With chance: all nodes' watches fall silent together.
--- a/src/node/gossip_socket.cpp
+++ b/src/node/gossip_socket.cpp
@@ -38,7 +38,7 @@
   if (!socket || bind(socket.number(), reinterpret_cast<const sockaddr*>(&*listen_), sizeof *listen_) != 0) {
     const int error = errno;
     if (!std::exchange(told_, true)) {
-      spdlog::warn("no words with other nodes: their address cannot be listened at, error {}", error);
+      spdlog::warn("gossip_unavailable error={}", error);
     }
     return;
   }
@@ -63,7 +63,7 @@
     // A word that the system does not take is lost like one on the way: the next one tells it all anew.
     if (sendto(socket_.number(), word.data(), word.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
                reinterpret_cast<const sockaddr*>(&to), sizeof to) >= 0) {
-      ++counters_.words_told;
+      ++counters_.gossip_sent;
     }
   }
 }
@@ -86,9 +86,9 @@
     }
     const bool whole = got <= static_cast<ssize_t>(sizeof bytes);
     if (whole && tally_.hear(sender, {bytes, static_cast<std::size_t>(got)}, EventLoop::unix_now())) {
-      ++counters_.words_heard;
+      ++counters_.gossip_received;
     } else {
-      ++counters_.words_passed;
+      ++counters_.gossip_ignored;
     }
   }
 }
--- a/src/node/health_checker.cpp
+++ b/src/node/health_checker.cpp
@@ -19,7 +19,7 @@
   if (line.out) {
     return;
   }
-  ++counters_.probes;
+  ++counters_.health_checks;
   line.out = true;
   line.since = loop_.now();
   line.sent = 0;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -1,593 +1,234 @@
+// The joins: configuration to parts, events to the load balancer, actions to the parts. Design:
+// docs/design.md.
 #include "node/node.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <cmath>
 
 #include "config/platform_settings.h"
 #include "policy/backoff.h"
-#include "policy/notes.h"
-
-using nlohmann::json;
 
 namespace dapplewharf {
 namespace {
 
-constexpr Tenths kLookEvery = 100 * kMs;  // at how long lines have been unanswered
-constexpr Tenths kTellEvery = kSecond;
-constexpr Tenths kStillComing = kSecond;  // clients go on coming that long after SIGTERM
-constexpr Tenths kLongestWait =
-    3 * kSecond;  // SIGKILL comes after the longest expiry, or after this, and 0.7 s
-constexpr Tenths kBeforeKill = 600 * kMs;
-constexpr Tenths kHeldUp = 50 * kMs;  // this process was: what it measured is its own delay
-constexpr double kSpeeds = 2;         // how far hosts at rest differ, beyond what their sizes say
-constexpr double kHeldStep = 0.5;     // connections: less is no news
-// Danger: parsed, a list takes up to twenty times its size. With 32 MB that is 1 MiB, 1,024 hosts of 1,024
-// bytes.
-constexpr double kListPart = 32;
-
-std::string id_of(Handle ticket) {
-  return std::to_string(ticket.slot) + "." + std::to_string(ticket.life);
-}
+constexpr Tenths kSampleInterval = 100 * kMs;
+constexpr Tenths kUnansweredInterval = kSecond;  // between reports of one line that stays unanswered
+constexpr double kGossipStep = 0.5;              // connections: a smaller change is not reported
+constexpr double kUnknown = -1;                  // of the connections elsewhere, in an event
+// A parsed endpoint list takes up to twenty times its size in memory.
+constexpr double kListMemoryShare = 32;
+constexpr double kBytesPerMegabyte = 1024.0 * 1024.0;
 
 }  // namespace
 
 Node::Node(EventLoop& loop, Configuration configuration)
     : loop_(loop),
       configuration_(std::move(configuration)),
-      settings_(settings_of(configuration_.env)),
-      load_balancer_(settings_, configuration_.seed, loop.now()),
-      relay_(loop, counters_, limits_, grammar_,
-             {[this](Handle at, const RequestLine& opening) { on_request(at, opening); },
-              [this](Handle at) { on_client_left(at); }, [this](Handle at) { on_established(at); },
-              [this](Handle at, AttemptResult end) { on_attempt_ended(at, end); },
-              [this](Handle at) {
-                const HeldRequest* found = held(at);
-                if (!found) {
-                  return true;
-                }
-                return ledger_.may_send(id_of(at), allowed_by_list(*found), loop_.now()) == Violation::none;
-              },
-              [this](Handle at, Tenths delay) {
-                const HeldRequest* found = held(at);
-                if (found && loop_.late() < kHeldUp) {
-                  meters_[found->host].record_line(loop_.now(), delay);
-                }
-              },
-              [this](Handle at, double load) {
-                if (const HeldRequest* found = held(at)) {
-                  tell(EventKind::load_told, id_of(at), found->host).figure = load;
-                }
-              }}),
+      balancer_settings_(settings_of(configuration_.env)),
+      random_(hash(configuration_.seed)),
+      load_balancer_(balancer_settings_, configuration_.seed, loop.now()),
+      requests_({.loop = loop,
+                 .counters = counters_,
+                 .limits = limits_,
+                 .settings = settings_,
+                 .endpoints = endpoints_,
+                 .shutdown = shutdown_,
+                 .events = events_,
+                 .random = random_}),
       discovery_(loop, counters_, configuration_.discovery, limits_, configuration_.seed,
-                 {[this](const EndpointSnapshot& list) {
-                    losses_ = 0;
-                    on_list(list, list.whole ? EventKind::list_whole : EventKind::list_changes);
-                  },
-                  [this] {
-                    ++losses_;
-                    tell(EventKind::list_lost);
-                    subscribe();
-                  }}),
-      probes_(loop, counters_, limits_,
-              [this](const std::string& host, const HealthChecker::Probed& probed) {
-                Event& event = tell(EventKind::probe_ended, "", host);
-                event.outcome = outcome_of(probed.end);
-                event.took = probed.took;
-                if (probed.answer_after > 0 && loop_.late() < kHeldUp) {
-                  meters_[host].record_health_check(loop_.now(), probed.answer_after);
-                }
-              }),
-      peers_(loop, counters_, configuration_.peers, configuration_.seed),
-      chance_(hash(configuration_.seed)) {
+                 {.listed =
+                      [this](const EndpointSnapshot& list) {
+                        discovery_losses_ = 0;
+                        on_endpoint_list(list, list.whole ? EventKind::list_whole : EventKind::list_changes);
+                      },
+                  .lost = [this] { on_discovery_lost(); }}),
+      health_checker_(loop, counters_, limits_,
+                      [this](const std::string& host, const HealthChecker::Probed& health_check) {
+                        on_health_check_ended(host, health_check);
+                      }),
+      gossip_(loop, counters_, configuration_.peers, configuration_.seed) {
   if (configuration_.shadow) {
     shadow_ = std::make_unique<Shadow>(settings_of(*configuration_.shadow), configuration_.seed, loop.now());
   }
-  take_settings();
+  apply_settings();
 }
 
-void Node::take_settings() {
-  const nlohmann::json::json_pointer groups("/extra/groups");
-  groups_ = configuration_.env.contains(groups) && configuration_.env.at(groups) == true;
-  drain_alone_ = number(settings_, "drain_binds_alone", 0) != 0;
-  shortest_goal_ = static_cast<Tenths>(extreme(settings_, "message_goal.", "", -1, 0));
-  limits_.connect_time = static_cast<Tenths>(number(settings_, "connect_time", kSecond));
+void Node::apply_settings() {
+  settings_ = node_settings_of(balancer_settings_, configuration_.env);
+  endpoints_.set_only_draining_binds(settings_.only_draining_binds);
+  limits_.connect_time = settings_.connect_timeout;
   limits_.descriptors = configuration_.descriptors;
-  limits_.list_bytes = static_cast<std::size_t>(configuration_.memory_mb * 1024 * 1024 / kListPart);
-  grammar_ = {};
-  for (int i = 0; settings_.count("traffic." + std::to_string(i) + ".name"); ++i) {
-    const std::string at = "traffic." + std::to_string(i) + ".";
-    grammar_.traffic[text(settings_, at + "name")] =
-        static_cast<Tenths>(number(settings_, at + "expiry", static_cast<double>(INT64_MAX / 2)));
-  }
-  for (int i = 0; settings_.count("tenant." + std::to_string(i) + ".name"); ++i) {
-    grammar_.tenants.insert(text(settings_, "tenant." + std::to_string(i) + ".name"));
-  }
+  limits_.list_bytes =
+      static_cast<std::size_t>(configuration_.memory_mb * kBytesPerMegabyte / kListMemoryShare);
 }
 
 std::optional<std::string> Node::start() {
-  EndpointSnapshot known;
-  try {
-    // Without a list to go on from the first call is for the whole one: changes since nothing may leave hosts
-    // out.
-    if (!configuration_.known.is_null()) {
-      known = list_of(configuration_.known, discovery_.starts, loop_.now(), EventLoop::unix_now());
-      discovery_.knows(known.version);
-    }
-  } catch (const std::exception& error) {
-    spdlog::warn("the list known before is not usable: {}", error.what());
-  }
-  on_list(known, EventKind::list_copy);
+  on_endpoint_list(known_list(), EventKind::list_copy);
   settle();
   subscribe();
-  sample_delays();
-  const auto at = address_of(configuration_.listen);
-  return at ? relay_.listen(*at) : std::string("no address of the form a.b.c.d:port");
-}
-
-// Where changes come unasked the module never asks; the node keeps the watch up.
-void Node::subscribe() {
-  if (text(settings_, "discovery") == "on_request") {
-    return;
-  }
-  // Danger: what the service has counts as told from the moment it is back, and hosts that drain are sent to
-  // until the node has asked: no wait is longer than half of the grace.
-  const Backoff backoff(number(settings_, "nodes", 1),
-                        static_cast<Tenths>(number(settings_, "drain_grace", 0)) / 2);
-  loop_.at(again_, loop_.now() + (losses_ == 0 ? 0 : backoff.again(losses_, chance_.share())),
-           [this] { discovery_.watch(); });
-}
-
-std::string Node::address(const std::string& host) const {
-  const auto found = addresses_.find(host);
-  return found == addresses_.end() ? "" : found->second;
+  sample();
+  const auto address = address_of(configuration_.listen);
+  return address ? requests_.listen(*address) : std::string("no address of the form a.b.c.d:port");
 }
 
-Event& Node::tell(EventKind kind, const std::string& id, const std::string& host) {
-  Event& event = events_.emplace_back();
-  event.kind = kind;
-  event.id = id;
-  event.host = host;
-  return event;
-}
-
-Node::HeldRequest* Node::held(Handle ticket) {
-  const auto found = held_.find(id_of(ticket));
-  return found == held_.end() ? nullptr : &found->second;
-}
-
-void Node::on_request(Handle ticket, const RequestLine& opening) {
-  HeldRequest made;
-  made.ticket = ticket;
-  Event& event = tell(opening.at.empty() ? EventKind::attachment : EventKind::handed_over, id_of(ticket));
-  event.traffic_type = opening.traffic_type;
-  event.tenant = opening.tenant;
-  event.key = opening.key;
-  if (groups_) {
-    event.group = opening.group;
-  }
-  event.expiry = loop_.now() + opening.wait;
-  if (stopping_) {
-    event.expiry = std::min(event.expiry, ends_by_ - kLookEvery);  // no answer comes later
-  }
-  made.request = opening.id;
-  event.repeated = opening.repeated;
-  event.returned = opening.returned;
-  if (!opening.at.empty()) {
-    ++counters_.handed_over;
-    event.host = made.host = opening.at;
-    event.pending = made.handed_over = true;
-    made.tries = 1;
-    made.sent = loop_.now();
-    made.out = true;
-    made.reattach.emplace(loop_.now(), opening.wait);
-  }
-  ledger_.open(event.id, repeat_rule_of(opening.traffic_type), event.expiry);
-  held_[event.id] = made;
-  if (!opening.at.empty()) {
-    reattach(ticket);
-  }
-}
-
-EndpointLocation Node::place_of(const std::string& host) const {
-  const auto found = places_.find(host);
-  return found == places_.end() ? EndpointLocation{host, "", 0} : found->second;
-}
-
-RepeatRule Node::repeat_rule_of(const std::string& traffic_type) const {
-  const std::string at = entry(settings_, "traffic.", traffic_type);
-  if (at.empty()) {
+// The endpoint list that the configuration brings, empty where it brings none. Without one the first call to
+// discovery is for the complete list: changes since an unknown version may leave endpoints out.
+EndpointSnapshot Node::known_list() {
+  if (configuration_.known.is_null()) {
     return {};
   }
-  const std::string effect = text(settings_, at + "effect");
-  const std::string group = text(settings_, at + "repeat_group");
-  return {effect == "idempotent"     ? Idempotency::idempotent
-          : effect == "deduplicated" ? Idempotency::deduplicated
-                                     : Idempotency::non_idempotent,
-          group == "all"    ? DeduplicationScope::all
-          : group == "zone" ? DeduplicationScope::zone
-                            : DeduplicationScope::cell,
-          static_cast<Tenths>(number(settings_, at + "repeat_window", 0))};
-}
-
-bool Node::allowed_by_list(const HeldRequest& held) const {
-  if (held.handed_over) {
-    return true;  // nothing new: it stood there before
-  }
-  const auto leaves = leaving_.find(held.host);
-  return leaves == leaving_.end() || (drain_alone_ && leaves->second == EndpointState::removed);
-}
-
-void Node::violated(const std::string& what, const std::string& id, Violation refusal) {
-  ++counters_.violations;
-  const auto found = held_.find(id);
-  spdlog::error("refused to {} request {}: {}", what, found == held_.end() ? id : found->second.request,
-                name_of(refusal));
-}
-
-void Node::release(const std::string& id) {
-  if (ledger_.close(id)) {
-    violated("close unanswered", id, Violation::none);
+  try {
+    EndpointSnapshot known =
+        list_of(configuration_.known, discovery_.starts, loop_.now(), EventLoop::unix_now());
+    discovery_.knows(known.version);
+    return known;
+  } catch (const std::exception& error) {
+    spdlog::warn("known_list_unusable error=\"{}\"", error.what());
+    return {};
   }
-  held_.erase(id);
 }
 
-// The one way to an attempt: nothing goes to a host that the ledger refuses.
-Violation Node::start_attempt(HeldRequest& held, const std::string& id, Tenths time_out,
-                              Tenths connect_time) {
-  const EndpointLocation place = place_of(held.host);
-  const Violation refusal = ledger_.may_begin(id, place, true, loop_.now());  // the list: at the last look
-  if (refusal != Violation::none) {
-    return refusal;
-  }
-  ledger_.begun(id, place, loop_.now());
-  relay_.begin_attempt(held.ticket, address_of(address(held.host)), time_out, connect_time);
-  return Violation::none;
-}
+// ---- discovery and health checks ----
 
-void Node::reattach(Handle ticket) {
-  HeldRequest* found = held(ticket);
-  if (!found || found->up || found->client_done) {
-    return;
-  }
-  found->between_attempts = false;
-  Tenths time = found->reattach->attempt_time(loop_.now());
-  if (stopping_) {
-    time = std::max<Tenths>(1, std::min(time, ends_by_ - kLookEvery - loop_.now()));
-  }
-  const Violation refusal = start_attempt(*found, id_of(ticket), time, time);
-  if (refusal == Violation::none) {
+// A service that is back counts as having notified every node, and draining endpoints are sent to until a
+// node has asked. No wait is therefore longer than half of the drain's grace period.
+void Node::subscribe() {
+  if (!settings_.watches_discovery) {
     return;
   }
-  found->between_attempts = true;
-  on_attempt_ended(ticket, {AttemptProgress::not_connected, TerminationReason::withdrawn});
+  const Backoff backoff(settings_.nodes, settings_.drain_grace / 2);
+  const Tenths delay = discovery_losses_ == 0 ? 0 : backoff.again(discovery_losses_, random_.share());
+  loop_.at(next_subscription_, loop_.now() + delay, [this] { discovery_.watch(); });
 }
 
-// Danger: the platform allows 40 s for a connection from before to come up again, and counts it as lost after
-// that. No single failure ends it: only a rule, its client, its host's leaving or the end of that time does.
-bool Node::reattach_later(Handle ticket, HeldRequest& held, AttemptResult end) {
-  if (held.between_attempts) {
-    return false;  // the ledger has refused
-  }
-  const std::string id = id_of(ticket);
-  const bool listed = !address(held.host).empty();
-  const auto leaves = leaving_.find(held.host);
-  const bool host_leaves = leaves != leaving_.end() && !drain_alone_;
-  const Violation refusal = ledger_.may_begin(id, place_of(held.host), !host_leaves, loop_.now());
-  const auto pause = held.reattach->pause(loop_.now(), listed, chance_.share());
-  const bool again = refusal == Violation::none && pause && !stopping_;
-  spdlog::log(again ? spdlog::level::info : spdlog::level::warn,
-              "request {} from before: attempt at host {} ended after ms {}, reach {}, cause {}; {}",
-              held.request, held.host, (loop_.now() - held.sent) / kMs, name_of(end.progress),
-              name_of(end.reason),
-              again                        ? "again in ms " + std::to_string(*pause / kMs)
-              : refusal != Violation::none ? std::string("given up: ") + name_of(refusal)
-              : stopping_                  ? std::string("given up: the node ends")
-                                           : std::string("given up: its time is over"));
-  if (!again) {
-    return false;
+void Node::on_endpoint_list(const EndpointSnapshot& list, EventKind kind) {
+  for (const std::string& host : endpoints_.apply(list, settings_.zone)) {
+    health_checker_.forget(host);  // one that connects late would be new work as well
   }
-  ++counters_.reattached;
-  held.between_attempts = true;
-  EventLoop::Deadline one;
-  loop_.at(one, loop_.now() + *pause, [this, ticket] { reattach(ticket); });
-  return true;
+  events_.add(kind).listings = list.listings;
 }
 
-void Node::on_client_left(Handle ticket) {
-  HeldRequest* found = held(ticket);
-  if (!found) {
-    return;
-  }
-  tell(EventKind::client_left, id_of(ticket));
-  ledger_.client_left(id_of(ticket));
-  if (!found->out) {
-    return release(id_of(ticket));
-  }
-  found->client_done = true;
-  if (found->between_attempts) {
-    on_attempt_ended(ticket, {AttemptProgress::not_connected, TerminationReason::client_gone});
-  }
+void Node::on_discovery_lost() {
+  ++discovery_losses_;
+  events_.add(EventKind::list_lost);
+  subscribe();
 }
 
-void Node::on_established(Handle ticket) {
-  HeldRequest* found = held(ticket);
-  if (!found) {
-    return;
+void Node::on_health_check_ended(const std::string& host, const HealthChecker::Probed& health_check) {
+  Event& event = events_.add(EventKind::probe_ended, "", host);
+  event.outcome = outcome_of(health_check.end);
+  event.took = health_check.took;
+  if (health_check.answer_after > 0 && loop_.late() < kHeldUp) {
+    endpoints_.latency(host).record_health_check(loop_.now(), health_check.answer_after);
   }
-  if (const Violation refusal = ledger_.may_answer(id_of(ticket), FinalAnswer::up);
-      refusal != Violation::none) {
-    violated("pass on UP to", id_of(ticket), refusal);
-  }
-  ledger_.answered(id_of(ticket));
-  found->up = true;
-  Event& event = tell(EventKind::established, id_of(ticket), found->host);
-  event.number = found->tries - 1;
-  event.took = loop_.now() - found->sent;
-  spdlog::debug("host {} is up, ms {}{}", found->host, event.took / kMs,
-                found->handed_over ? ", from before" : "");
 }
 
-void Node::on_attempt_ended(Handle ticket, AttemptResult end) {
-  HeldRequest* found = held(ticket);
-  if (!found || !found->out) {
-    return;
-  }
-  const Outcome outcome = outcome_of(end);
-  if (!found->between_attempts) {
-    ledger_.ended(id_of(ticket), may_have_run(outcome));
-  }
-  if (found->handed_over && !found->up && !found->client_done && reattach_later(ticket, *found, end)) {
-    return;
-  }
-  Event& event = tell(EventKind::try_ended, id_of(ticket), found->host);
-  event.number = found->tries - 1;
-  event.outcome = outcome;
-  event.took = loop_.now() - found->sent;
-  event.final = found->up || found->client_done || found->handed_over;
-  switch (event.outcome) {
-    case Outcome::succeeded:
-      ++counters_.ended;
-      break;
-    case Outcome::error:
-      ++counters_.errors;
-      break;
-    case Outcome::rejected:
-      ++counters_.turned_away;
-      break;
-    case Outcome::timed_out:
-      ++counters_.unanswered;
-      break;
-    case Outcome::connect_failed:
-      ++counters_.not_connected;
-      break;
-    case Outcome::connection_lost:
-      ++counters_.lost;
-      break;
-    case Outcome::cancelled:
-      ++counters_.cancelled;
-      break;
-    case Outcome::not_sent:
-      ++counters_.not_sent;
-      break;
-    case Outcome::withdrawn:
-      ++counters_.withdrawn, --found->tries;
-      break;  // as if it had never been
-  }
-  // What a fleet of many nodes did is counted from these lines (tools/count.awk); none while level is info.
-  spdlog::debug("host {} ended a {}, outcome {}, after ms {}", found->host, found->up ? "connection" : "try",
-                static_cast<int>(event.outcome), event.took / kMs);
-  found->out = false;
-  const bool unheard = found->handed_over && !found->up && !found->client_done;
-  const bool final = event.final;
-  // A connection that stood at a host and can't be had there any more has ended; its client is told so.
-  if (unheard) {
-    return ++counters_.scrapped, answer(id_of(ticket), FinalAnswer::error, "ERR\r\n");
+// ---- periodic samples ----
+
+void Node::sample() {
+  const Tenths since_last_sample = loop_.now() - sampled_at_;
+  sampled_at_ = loop_.now();
+  loop_.at(next_sample_, sampled_at_ + kSampleInterval, [this] { sample(); });
+  if (shadow_) {
+    run_shadow({}, {});  // its timer may be due
   }
-  if (final) {
-    release(id_of(ticket));
+  exchange_gossip();
+  if (loop_.late() >= kHeldUp) {
+    return;  // after a pause of this process every line seems unanswered
   }
+  report_latencies(unanswered_lines(since_last_sample));
 }
 
-void Node::on_list(const EndpointSnapshot& list, EventKind kind) {
-  for (const auto& [host, address] : list.addresses) {
-    addresses_[host] = address;
-  }
-  std::set<std::string> up;
-  std::set<std::string> gone;
-  for (const EndpointEntry& listing : list.listings) {
-    places_[listing.host] = {listing.host, listing.zone, listing.cell};
-    (listing.state == EndpointState::removed ? gone : up).insert(listing.host);
-    if (listing.zone == text(settings_, "zone") && listing.size > 0) {
-      near_[listing.host] = listing.size;
-    }
-  }
-  for (const auto& [host, address] : addresses_) {
-    if (list.whole && !up.count(host)) {
-      gone.insert(host);
+Node::UnansweredByHost Node::unanswered_lines(Tenths since_last_sample) {
+  UnansweredByHost lines;
+  requests_.each_established([&](const std::string& id, const std::string& host, Tenths unanswered) {
+    lines[host].request_id = id;
+    lines[host].ages.push_back(unanswered);
+    const Tenths before = std::max<Tenths>(unanswered - since_last_sample, 0);
+    if (unanswered / kUnansweredInterval > before / kUnansweredInterval) {
+      events_.add(EventKind::unanswered, id, host).figure = static_cast<double>(unanswered);
     }
-  }
-  for (const EndpointEntry& listing : list.listings) {
-    if (listing.state == EndpointState::draining) {
-      leaving_[listing.host] = listing.state;
-      probes_.forget(listing.host);  // danger: one whose connection comes up late would be new work as well
-    } else if (listing.state == EndpointState::healthy) {
-      leaving_.erase(listing.host);
+  });
+  return lines;
+}
+
+void Node::report_latencies(UnansweredByHost unanswered) {
+  const std::map<std::string, Tenths> idle_times = endpoints_.idle_health_check_times();
+  // An endpoint whose last connection has ended is reported on as well: unreported, a slow one would seem
+  // recovered.
+  for (const std::string& host : endpoints_.measured()) {
+    unanswered.try_emplace(host);
+  }
+  for (const auto& [host, lines] : unanswered) {
+    const auto idle = idle_times.find(host);
+    const Tenths baseline = idle == idle_times.end() ? 0 : idle->second;
+    const auto latency =
+        endpoints_.latency(host).report(loop_.now(), settings_.message_objective, lines.ages, baseline);
+    if (latency) {
+      events_.add(EventKind::delay_told, lines.request_id, host).figure = static_cast<double>(*latency);
     }
   }
-  for (const std::string& host : gone) {
-    leaving_.try_emplace(host, EndpointState::removed);  // a drain goes on binding
-  }
-  for (const std::string& host : gone) {
-    probes_.forget(host), meters_.erase(host), near_.erase(host);
-  }
-  tell(kind).listings = list.listings;
 }
 
-void Node::sample_delays() {
-  const Tenths since = loop_.now() - looked_at_;
-  looked_at_ = loop_.now();
-  loop_.at(look_, looked_at_ + kLookEvery, [this] { sample_delays(); });
-  if (shadow_) {
-    watch_shadow({}, {});  // its alarm may be due
-  }
-  exchange();
-  std::map<std::string, std::pair<std::string, std::vector<Tenths>>> hosts;  // a connection there; the ages
-  if (loop_.late() >= kHeldUp) {
-    return;  // danger: after a pause every line seems unanswered
+void Node::exchange_gossip() {
+  if (!gossip_) {
+    return;  // counting the load walks over all requests
   }
-  relay_.each_standing([&](Handle ticket, Tenths unanswered) {
-    const HeldRequest* found = held(ticket);
-    if (!found || !found->up) {
+  gossip_.tell(requests_.load_by_host());
+  endpoints_.each_addressable([this](const std::string& host, EndpointRecord& record) {
+    const std::optional<double> elsewhere = gossip_.elsewhere(host);
+    const double change = elsewhere.value_or(kUnknown) - record.connections_elsewhere.value_or(kUnknown);
+    if (std::abs(change) < kGossipStep) {
       return;
     }
-    auto& [id, ages] = hosts[found->host];
-    id = id_of(ticket);
-    ages.push_back(unanswered);
-    if (unanswered / kTellEvery > std::max<Tenths>(unanswered - since, 0) / kTellEvery) {
-      tell(EventKind::unanswered, id, found->host).figure = static_cast<double>(unanswered);
-    }
+    record.connections_elsewhere = elsewhere;
+    events_.add(EventKind::peer_word, "", host).figure = elsewhere.value_or(kUnknown);
   });
-  std::vector<double> works;
-  for (const auto& [host, size] : near_) {
-    if (const auto meter = meters_.find(host); meter != meters_.end()) {
-      if (const auto least = meter->second.shortest_health_check()) {
-        works.push_back(size * static_cast<double>(*least));
-      }
-    }
-  }
-  const double work = baseline_service_time(std::move(works));
-  // Danger: a slow host that has lost its last connection is told of no more, and is filled up again.
-  for (const auto& [host, meter] : meters_) {
-    hosts[host];
-  }
-  for (auto& [host, seen] : hosts) {
-    const auto near = near_.find(host);
-    const Tenths at_rest = near == near_.end() ? 0 : static_cast<Tenths>(kSpeeds * work / near->second);
-    if (const auto delay = meters_[host].report(loop_.now(), shortest_goal_, seen.second, at_rest)) {
-      tell(EventKind::delay_told, seen.first, host).figure = static_cast<double>(*delay);
-    }
-  }
 }
 
-void Node::exchange() {
-  if (!peers_) {
-    return;  // counting what is held costs a walk over all of it
-  }
-  PeerLoadTable::Counts counts;
-  for (const auto& [id, one] : held_) {
-    if (one.out && !one.client_done) {
-      ++counts[one.host];
-    }
-  }
-  peers_.tell(counts);
-  for (const auto& [host, address] : addresses_) {
-    const double held = peers_.elsewhere(host).value_or(-1);
-    const auto [told, fresh] = elsewhere_.try_emplace(host, -1);
-    if (std::abs(told->second - held) < kHeldStep) {
-      continue;
-    }
-    told->second = held;
-    tell(EventKind::peer_word, "", host).figure = held;
-  }
-}
+// ---- events and actions ----
 
 void Node::settle() {
   while (!events_.empty()) {
-    const std::vector<Event> batch = std::exchange(events_, {});
+    const std::vector<Event> batch = events_.take();
     const std::vector<Action> actions = load_balancer_.handle_events(loop_.now(), batch);
     if (shadow_) {
-      watch_shadow(batch, actions);
+      run_shadow(batch, actions);
     }
     for (const Action& action : actions) {
-      act(action);
+      carry_out(action);
     }
   }
 }
 
-void Node::watch_shadow(const std::vector<Event>& events, const std::vector<Action>& actions) {
+void Node::run_shadow(const std::vector<Event>& events, const std::vector<Action>& actions) {
   if (shadow_->off()) {
     return;
   }
   shadow_->follow(loop_.now(), events, actions);
   if (shadow_->off()) {
-    spdlog::warn("the watched settings are let go, the node goes on: {}", shadow_->why());
+    spdlog::warn("shadow_stopped error=\"{}\"", shadow_->why());
   }
 }
 
-// The one way to a final answer.
-void Node::answer(const std::string& id, FinalAnswer kind, const std::string& line) {
-  const auto found = held_.find(id);
-  if (found == held_.end()) {
-    return;
-  }
-  const Handle ticket = found->second.ticket;
-  const Violation refusal = ledger_.may_answer(id, kind);
-  // Danger: a rejection says that a repeat is harmless; where it is not, the client is told of a failure.
-  const bool failed_instead = refusal == Violation::effect_may_repeat;
-  if (refusal != Violation::none) {
-    violated("answer", id, refusal);
-  }
-  ledger_.answered(id);
-  release(id);
-  if (refusal == Violation::none || failed_instead) {
-    relay_.answer(ticket, failed_instead ? "ERR\r\n" : line);
-  }
-}
-
-void Node::act(const Action& action) {
-  const auto found = held_.find(action.id);
+void Node::carry_out(const Action& action) {
   switch (action.kind) {
     case ActionKind::setup_try:
-      if (found == held_.end()) {
-        return;
-      }
-      found->second.host = action.host;
-      found->second.sent = loop_.now();
-      ++found->second.tries;
-      found->second.out = true;
-      if (const Violation refusal = start_attempt(found->second, action.id, action.time, 0);
-          refusal != Violation::none) {
-        violated("begin an attempt for", action.id, refusal);
-        Event& never = tell(EventKind::try_ended, action.id, action.host);
-        never.number = found->second.tries - 1, never.outcome = Outcome::not_sent, never.final = true;
-        return answer(action.id, FinalAnswer::error, "ERR\r\n");
-      }
-      return;
+      return requests_.start_attempt(action.id, action.host, action.time);
     case ActionKind::cancel_try:
-      if (found != held_.end()) {
-        relay_.cancel(found->second.ticket);
-      }
-      return;
+      return requests_.cancel_attempt(action.id);
     case ActionKind::reject:
-      ++counters_.rejected;
-      spdlog::debug("rejected, back in ms {}, tries {}", action.time / kMs,
-                    found == held_.end() ? 0 : found->second.tries);
-      return answer(
-          action.id, FinalAnswer::busy,
-          action.time > 0 ? "BUSY " + std::to_string(action.time / kMs) + "\r\n" : std::string("BUSY\r\n"));
+      return requests_.reject(action.id, action.time);
     case ActionKind::scrap:
-      ++counters_.scrapped;
-      return answer(action.id, FinalAnswer::error, "ERR\r\n");
-    case ActionKind::move: {
-      if (found == held_.end()) {
-        return;
-      }
-      ++counters_.moved;
-      spdlog::debug("moved off host {}", found->second.host);
-      const Handle ticket = found->second.ticket;
-      ledger_.answered(action.id);
-      found->second.client_done = true;
-      on_attempt_ended(ticket, {AttemptProgress::established, TerminationReason::cancelled});
-      return relay_.move(ticket);
-    }
+      return requests_.fail(action.id);
+    case ActionKind::move:
+      return requests_.migrate(action.id);
     case ActionKind::probe:
-      return probes_.probe(action.host, address(action.host));
-    case ActionKind::set_alarm: {
-      EventLoop::Deadline one;  // alarms are never withdrawn
-      return loop_.at(one, loop_.now() + action.time,
-                      [this, number = action.number] { tell(EventKind::alarm).number = number; });
-    }
+      return health_checker_.probe(action.host, endpoints_.address(action.host));
+    case ActionKind::set_alarm:
+      return set_timer(action);
     case ActionKind::subscribe:
       return discovery_.watch();
     case ActionKind::fetch_list:
@@ -597,45 +238,65 @@
   }
 }
 
+void Node::set_timer(const Action& action) {
+  EventLoop::Deadline timer;  // the load balancer never cancels one
+  loop_.at(timer, loop_.now() + action.time,
+           [this, number = action.number] { events_.add(EventKind::alarm).number = number; });
+}
+
+// ---- shutdown, reload and report ----
+
 void Node::stop() {
-  if (stopping_) {
+  if (!shutdown_.begin(loop_.now(), settings_.longest_wait)) {
     return;
   }
-  stopping_ = true;
-  stopped_at_ = loop_.now();
-  // Settled here: a SIGHUP on the way changes no more of it. SettingsMap that name no expiry leave the
-  // longest.
-  const auto expiry = static_cast<Tenths>(extreme(settings_, "traffic.", ".expiry", 1, kLongestWait));
-  ends_by_ = stopped_at_ + std::min(expiry, kLongestWait) + kBeforeKill;
-  tell(EventKind::stopping).expiry = ends_by_ - kLookEvery;
-  relay_.shorten_attempts(ends_by_ - kLookEvery);
-  ledger_.expire_by(ends_by_);
-  loop_.at(close_up_, ends_by_ - kLookEvery / 2, [this] { close_up(); });
-  spdlog::info("stopping, connections open {}", relay_.open());
+  events_.add(EventKind::stopping).expiry = shutdown_.answers_due();
+  requests_.shorten_to_shutdown();
+  loop_.at(close_requests_, shutdown_.requests_close_at(), [this] { requests_.close_all(); });
+  spdlog::info("shutdown_started open_connections={}", requests_.open_connections());
+}
+
+bool Node::done() {
+  switch (shutdown_.phase(loop_.now())) {
+    case ShutdownPhase::running:
+    case ShutdownPhase::accepting_late_clients:
+      return false;
+    case ShutdownPhase::finishing:
+    case ShutdownPhase::closing:
+      // A client that the kernel has accepted is served, whether or not this process has seen it.
+      return requests_.idle() && !requests_.accept_pending();
+    case ShutdownPhase::overdue:
+      return true;
+  }
+  return true;
+}
+
+// What only a restart can change refuses the whole file: half of a new configuration is neither the old nor
+// the new one. The name, the seed and the known list have no effect after the start.
+std::string Node::reload_fault(const Read& read) const {
+  if (!read.taken) {
+    return read.fault;
+  }
+  if (read.taken->listen != configuration_.listen) {
+    return "'listen' can be changed by a restart only: " + read.taken->listen;
+  }
+  if (read.taken->shadow && !shadow_) {
+    return "settings to watch can be named by a restart only";
+  }
+  return "";
 }
 
-// Danger: half of a new configuration is neither the old nor the new one. What only a start can change (where
-// the node listens) refuses the file; the name, the seed and the list known before have no say any more.
 void Node::reload(const Read& read) {
   ++counters_.reloads;
-  const std::string fault = !read.taken ? read.fault
-                            : read.taken->listen != configuration_.listen
-                                ? "'listen' can be changed by a restart only: " + read.taken->listen
-                            : read.taken->shadow && !shadow_
-                                ? "settings to watch can be named by a restart only"
-                                : "";
-  if (!fault.empty()) {
-    ++counters_.reloads_refused;
-    return spdlog::warn("configuration not taken, the old one goes on: {}", fault);
+  if (const std::string fault = reload_fault(read); !fault.empty()) {
+    ++counters_.reloads_rejected;
+    return spdlog::warn("configuration_rejected reason=\"{}\"", fault);
   }
   configuration_ = *read.taken;
   configuration_.descriptors = descriptor_limit(configuration_.descriptors);
-  const std::string zone = text(settings_, "zone");
-  settings_ = settings_of(configuration_.env);
-  if (text(settings_, "zone") != zone) {
-    near_.clear();  // the list of the new place fills it
-  }
-  load_balancer_.update_settings(settings_);
+  balancer_settings_ = settings_of(configuration_.env);
+  const std::string former_zone = settings_.zone;
+  load_balancer_.update_settings(balancer_settings_);
   if (!configuration_.shadow) {
     shadow_.reset();
   }
@@ -643,42 +304,17 @@
     shadow_->update_settings(settings_of(*configuration_.shadow));
   }
   set_log(configuration_.log);
-  take_settings();
-  discovery_.move_to(configuration_.discovery);
-  spdlog::info("configuration taken anew, discovery {}", configuration_.discovery);
-}
-
-// Danger: what is still held when the process is killed is lost; it ends by itself before that.
-bool Node::done() {
-  if (!stopping_) {
-    return false;
-  }
-  if (loop_.now() >= ends_by_) {
-    return true;
-  }
-  if (loop_.now() - stopped_at_ < kStillComing || !held_.empty() || relay_.busy() > 0) {
-    return false;
-  }
-  // Danger: what the kernel has accepted is taken, whether or not this process has seen it.
-  return !relay_.accept_pending();
-}
-
-void Node::close_up() {
-  std::vector<std::string> left;
-  for (const auto& [id, one] : held_) {
-    if (!one.client_done) {
-      left.push_back(id);
-    }
-  }
-  for (const std::string& id : left) {
-    const bool up = held_.at(id).up || held_.at(id).handed_over;
-    spdlog::warn("{} at the node's end", up ? "a connection is moved" : "an attachment is scrapped");
-    act({up ? ActionKind::move : ActionKind::scrap, id, "", "", 0, 0});
+  apply_settings();
+  if (settings_.zone != former_zone) {
+    endpoints_.leave_zone();
   }
+  discovery_.move_to(configuration_.discovery);
+  spdlog::info("configuration_reloaded discovery={}", configuration_.discovery);
 }
 
 void Node::report() const {
-  spdlog::info("{}", counters_.told());
+  spdlog::info("{}", counters_.format());
+  spdlog::info("{}", counters_.format_with_former_names());
   if (shadow_) {
     spdlog::info("{}{}", shadow_->counts().told(), shadow_->off() ? " | let go" : "");
   }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,101 +1,92 @@
-// Facts to events, actions to sockets: the only place where the module and the network meet. Owns the module,
-// what is known of each attachment's tries and how long hosts take for a message. Never chooses a host, a
-// further try, a rejection or a move.
+// The node: joins the load balancer with the network. Owns the load balancer, the optional shadow, and the
+// parts that speak to clients and hosts, to discovery, to health-checked hosts and to the other nodes; passes
+// events one way and actions the other. Chooses no host, no retry, no rejection and no migration. Design:
+// docs/design.md.
 #pragma once
-#include <unordered_map>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "base/counters.h"
 #include "node/configuration.h"
-#include "node/connection_table.h"
+#include "node/endpoint_directory.h"
 #include "node/endpoint_discovery.h"
+#include "node/event_queue.h"
 #include "node/gossip_socket.h"
 #include "node/health_checker.h"
-#include "node/latency_estimator.h"
+#include "node/node_settings.h"
+#include "node/request_handler.h"
 #include "node/shadow.h"
+#include "node/shutdown.h"
 #include "policy/load_balancer.h"
-#include "policy/reconnect_policy.h"
-#include "policy/request_ledger.h"
 
 namespace dapplewharf {
 
 class Node {
  public:
-  Node(EventLoop& loop,
-       Configuration configuration);  // throws std::runtime_error on a setting that is missing
+  /// Throws std::runtime_error when a setting is missing.
+  Node(EventLoop& loop, Configuration configuration);
 
-  std::optional<std::string> start();                     // what went wrong, if anything
-  void settle();                                          // lets the module see what happened in this turn
-  void stop();                                            // SIGTERM
-  void reload(const Read& read);                          // SIGHUP: whole or not at all
-  bool done();                                            // may end
-  void report() const;                                    // the counters, to the log
-  const Shadow* shadow() const { return shadow_.get(); }  // null while the watching mode is off
+  /// Starts to serve. Returns what went wrong, if anything.
+  std::optional<std::string> start();
+  /// Hands the events of this turn to the load balancer and carries out its actions.
+  void settle();
+  /// Starts the shutdown (SIGTERM).
+  void stop();
+  /// Takes a new configuration, whole or not at all (SIGHUP).
+  void reload(const Read& read);
+  /// Whether the process may end.
+  [[nodiscard]] bool done();
+  /// Logs the counters.
+  void report() const;
+  /// Null while no settings are shadowed.
+  [[nodiscard]] const Shadow* shadow() const { return shadow_.get(); }
 
  private:
-  struct HeldRequest {
-    Handle ticket;
-    std::string request;  // the client's own id, for the log
-    std::string host;
-    int tries = 0;
-    Tenths sent = 0;
-    bool out = false, up = false, client_done = false;  // client_done: answered, moved or left
-    bool handed_over = false;                           // it stood at its host before this node started
-    bool between_attempts = false;            // of one handed over: the next attempt is yet to begin
-    std::optional<ReconnectPolicy> reattach;  // of one handed over
+  struct UnansweredLines {
+    std::string request_id;  // of one connection to the host
+    std::vector<Tenths> ages;
   };
-  void on_request(Handle ticket, const RequestLine& opening);
-  void on_client_left(Handle ticket);
-  void on_established(Handle ticket);
-  void on_attempt_ended(Handle ticket, AttemptResult end);
-  void on_list(const EndpointSnapshot& list, EventKind kind);
-  void sample_delays();
-  void exchange();  // what the nodes hold, among them
-  void act(const Action& action);
-  void answer(const std::string& id, FinalAnswer kind, const std::string& line);
-  Violation start_attempt(HeldRequest& held, const std::string& id, Tenths time_out, Tenths connect_time);
-  void reattach(Handle ticket);
-  bool reattach_later(Handle ticket, HeldRequest& held,
-                      AttemptResult end);               // false: no further attempt may follow
-  bool allowed_by_list(const HeldRequest& held) const;  // nothing new goes to a host announced as leaving
-  EndpointLocation place_of(const std::string& host) const;
-  RepeatRule repeat_rule_of(const std::string& traffic_type) const;
-  void release(const std::string& id);  // it is no longer held
-  void violated(const std::string& what, const std::string& id, Violation refusal);
+  using UnansweredByHost = std::map<std::string, UnansweredLines>;
+
+  void apply_settings();
+  EndpointSnapshot known_list();
   void subscribe();
-  void watch_shadow(const std::vector<Event>& events, const std::vector<Action>& actions);
-  void take_settings();                                // what the configuration in force says, for all parts
-  void close_up();                                     // nothing that is held outlives the process unanswered
-  std::string address(const std::string& host) const;  // as discovery last told it; empty where it did not
-  Event& tell(EventKind kind, const std::string& id = "", const std::string& host = "");
-  HeldRequest* held(Handle ticket);
+  void on_endpoint_list(const EndpointSnapshot& list, EventKind kind);
+  void on_discovery_lost();
+  void on_health_check_ended(const std::string& host, const HealthChecker::Probed& health_check);
+  void sample();
+  void exchange_gossip();
+  UnansweredByHost unanswered_lines(Tenths since_last_sample);
+  void report_latencies(UnansweredByHost unanswered);
+  void carry_out(const Action& action);
+  void set_timer(const Action& action);
+  void run_shadow(const std::vector<Event>& events, const std::vector<Action>& actions);
+  [[nodiscard]] std::string reload_fault(const Read& read) const;
 
   EventLoop& loop_;
   Counters counters_;
   Configuration configuration_;
-  SettingsMap settings_;
+  SettingsMap balancer_settings_;
+  NodeSettings settings_;
   Limits limits_;
-  RequestSchema grammar_;
-  bool groups_ = false, drain_alone_ = false, stopping_ = false;
-  Tenths stopped_at_ = 0, ends_by_ = 0, shortest_goal_ = 0, looked_at_ = 0;
-  int losses_ = 0;
+  RandomGenerator random_;
+  EventQueue events_;
   LoadBalancer load_balancer_;
-  std::unique_ptr<Shadow> shadow_;  // only while the mode is on
-  ConnectionTable relay_;
+  std::unique_ptr<Shadow> shadow_;  // only while settings are shadowed
+  EndpointDirectory endpoints_;
+  Shutdown shutdown_;
+  RequestHandler requests_;
   EndpointDiscovery discovery_;
-  HealthChecker probes_;
-  GossipSocket peers_;
-  RandomGenerator chance_;
-  std::map<std::string, double> elsewhere_;  // as last told to the module
-  std::vector<Event> events_;
-  std::unordered_map<std::string, HeldRequest> held_;
-  RequestLedger ledger_;
-  std::map<std::string, EndpointLocation> places_;  // of the hosts that a list has named
-  std::map<std::string, std::string> addresses_;
-  std::map<std::string, EndpointState>
-      leaving_;  // hosts announced as leaving: no try's first byte goes there
-  std::map<std::string, LatencyEstimator> meters_;
-  std::map<std::string, double> near_;  // the hosts of its own zone, and their sizes
-  EventLoop::Deadline look_, again_, close_up_;
+  HealthChecker health_checker_;
+  GossipSocket gossip_;
+  int discovery_losses_ = 0;  // calls lost in a row
+  Tenths sampled_at_ = 0;
+  EventLoop::Deadline next_sample_;
+  EventLoop::Deadline next_subscription_;
+  EventLoop::Deadline close_requests_;
 };
 
 }  // namespace dapplewharf
--- /dev/null
+++ b/src/node/request_handler.cpp
@@ -0,0 +1,419 @@
+// A request's way: opened, attempted, established or answered, released. Design: docs/design.md.
+#include "node/request_handler.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace dapplewharf {
+namespace {
+
+const std::string kErrorLine = "ERR\r\n";
+
+}  // namespace
+
+RequestHandler::RequestHandler(const RequestContext& context)
+    : loop_(context.loop),
+      counters_(context.counters),
+      settings_(context.settings),
+      endpoints_(context.endpoints),
+      shutdown_(context.shutdown),
+      events_(context.events),
+      random_(context.random),
+      connections_(context.loop, context.counters, context.limits, context.settings.request_schema, *this) {}
+
+std::string RequestHandler::id_of(Handle handle) {
+  return std::to_string(handle.slot) + "." + std::to_string(handle.life);
+}
+
+RequestHandler::Request* RequestHandler::find(Handle handle) {
+  return find(id_of(handle));
+}
+
+RequestHandler::Request* RequestHandler::find(const std::string& id) {
+  const auto found = requests_.find(id);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+// ---- what clients and hosts do ----
+
+void RequestHandler::on_request(Handle handle, const RequestLine& line) {
+  const std::string id = id_of(handle);
+  const bool adopted = !line.at.empty();
+  Event& event = events_.add(adopted ? EventKind::handed_over : EventKind::attachment, id, line.at);
+  event.traffic_type = line.traffic_type;
+  event.tenant = line.tenant;
+  event.key = line.key;
+  if (settings_.affinity_groups) {
+    event.group = line.group;
+  }
+  event.expiry = loop_.now() + line.wait;
+  if (shutdown_.in_progress()) {
+    event.expiry = std::min(event.expiry, shutdown_.answers_due());
+  }
+  event.repeated = line.repeated;
+  event.returned = line.returned;
+  event.pending = adopted;
+  Request request;
+  request.handle = handle;
+  request.client_id = line.id;
+  if (adopted) {
+    ++counters_.connections_adopted;
+    request.host = line.at;
+    request.adopted = true;
+    request.attempts = 1;
+    request.sent_at = loop_.now();
+    request.attempt_in_progress = true;
+    request.reconnect.emplace(loop_.now(), line.wait);
+  }
+  ledger_.open(id, settings_.repeat_rule(line.traffic_type), event.expiry);
+  requests_[id] = std::move(request);
+  if (adopted) {
+    reconnect(handle);
+  }
+}
+
+void RequestHandler::on_client_left(Handle handle) {
+  Request* request = find(handle);
+  if (!request) {
+    return;
+  }
+  const std::string id = id_of(handle);
+  events_.add(EventKind::client_left, id);
+  ledger_.client_left(id);
+  if (!request->attempt_in_progress) {
+    return release(id);
+  }
+  request->client_done = true;
+  if (request->between_attempts) {
+    on_attempt_ended(handle, {AttemptProgress::not_connected, TerminationReason::client_gone});
+  }
+}
+
+void RequestHandler::on_established(Handle handle) {
+  Request* request = find(handle);
+  if (!request) {
+    return;
+  }
+  const std::string id = id_of(handle);
+  if (const Violation violation = ledger_.may_answer(id, FinalAnswer::up); violation != Violation::none) {
+    report_violation("pass on UP to", id, violation);
+  }
+  ledger_.answered(id);
+  request->established = true;
+  Event& event = events_.add(EventKind::established, id, request->host);
+  event.number = request->attempts - 1;
+  event.took = loop_.now() - request->sent_at;
+  spdlog::debug("connection_established host={} setup_ms={} adopted={}", request->host, event.took / kMs,
+                request->adopted);
+}
+
+void RequestHandler::on_attempt_ended(Handle handle, AttemptResult result) {
+  Request* request = find(handle);
+  if (!request || !request->attempt_in_progress) {
+    return;
+  }
+  const Outcome outcome = outcome_of(result);
+  if (!request->between_attempts) {
+    ledger_.ended(id_of(handle), may_have_run(outcome));
+  }
+  if (request->awaits_reconnect() && reconnect_later(handle, *request, result)) {
+    return;
+  }
+  report_attempt_end(handle, *request, outcome);
+}
+
+void RequestHandler::report_attempt_end(Handle handle, Request& request, Outcome outcome) {
+  const std::string id = id_of(handle);
+  const bool final = request.established || request.client_done || request.adopted;
+  Event& event = events_.add(EventKind::try_ended, id, request.host);
+  event.number = request.attempts - 1;
+  event.outcome = outcome;
+  event.took = loop_.now() - request.sent_at;
+  event.final = final;
+  count(outcome);
+  if (outcome == Outcome::withdrawn) {
+    --request.attempts;  // nothing of it left this process
+  }
+  // tools/count.awk reads these lines.
+  spdlog::debug("{} host={} outcome={} duration_ms={}",
+                request.established ? "connection_ended" : "attempt_ended", request.host, name_of(outcome),
+                event.took / kMs);
+  request.attempt_in_progress = false;
+  if (request.awaits_reconnect()) {  // its host cannot be had any more: the connection has ended
+    ++counters_.requests_failed;
+    return answer(id, FinalAnswer::error, kErrorLine);
+  }
+  if (final) {
+    release(id);
+  }
+}
+
+void RequestHandler::count(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::succeeded:
+      ++counters_.connections_completed;
+      break;
+    case Outcome::error:
+      ++counters_.attempt_errors;
+      break;
+    case Outcome::rejected:
+      ++counters_.attempts_rejected;
+      break;
+    case Outcome::timed_out:
+      ++counters_.attempts_timed_out;
+      break;
+    case Outcome::connect_failed:
+      ++counters_.attempts_not_connected;
+      break;
+    case Outcome::connection_lost:
+      ++counters_.connections_lost;
+      break;
+    case Outcome::cancelled:
+      ++counters_.attempts_cancelled;
+      break;
+    case Outcome::not_sent:
+      ++counters_.attempts_not_sent;
+      break;
+    case Outcome::withdrawn:
+      ++counters_.attempts_withdrawn;
+      break;
+  }
+}
+
+bool RequestHandler::may_send(Handle handle) {
+  const Request* request = find(handle);
+  if (!request) {
+    return true;
+  }
+  // An adopted connection is nothing new to its host: it was open there before.
+  const bool permitted = request->adopted || endpoints_.permits(request->host, EndpointUse::new_request);
+  return ledger_.may_send(id_of(handle), permitted, loop_.now()) == Violation::none;
+}
+
+void RequestHandler::on_line_answered(Handle handle, Tenths latency) {
+  const Request* request = find(handle);
+  if (request && loop_.late() < kHeldUp) {
+    endpoints_.latency(request->host).record_line(loop_.now(), latency);
+  }
+}
+
+void RequestHandler::on_load_reported(Handle handle, double load) {
+  if (const Request* request = find(handle)) {
+    events_.add(EventKind::load_told, id_of(handle), request->host).figure = load;
+  }
+}
+
+// ---- what the load balancer decides ----
+
+void RequestHandler::start_attempt(const std::string& id, const std::string& host, Tenths timeout) {
+  Request* request = find(id);
+  if (!request) {
+    return;
+  }
+  request->host = host;
+  request->sent_at = loop_.now();
+  ++request->attempts;
+  request->attempt_in_progress = true;
+  const Violation violation = begin_attempt(*request, id, {.total = timeout, .connect = std::nullopt});
+  if (violation == Violation::none) {
+    return;
+  }
+  report_violation("begin an attempt for", id, violation);
+  Event& event = events_.add(EventKind::try_ended, id, host);
+  event.number = request->attempts - 1;
+  event.outcome = Outcome::not_sent;
+  event.final = true;
+  answer(id, FinalAnswer::error, kErrorLine);
+}
+
+// The one way to an attempt: nothing goes to a host that the ledger refuses.
+Violation RequestHandler::begin_attempt(Request& request, const std::string& id,
+                                        const AttemptTimeouts& timeouts) {
+  const EndpointLocation location = endpoints_.location(request.host);
+  // Whether the endpoint drains is asked just before the first byte is sent.
+  const Violation violation = ledger_.may_begin(id, location, true, loop_.now());
+  if (violation != Violation::none) {
+    return violation;
+  }
+  ledger_.begun(id, location, loop_.now());
+  connections_.begin_attempt(request.handle, {.address = address_of(endpoints_.address(request.host)),
+                                              .timeout = timeouts.total,
+                                              .connect_timeout = timeouts.connect});
+  return Violation::none;
+}
+
+void RequestHandler::cancel_attempt(const std::string& id) {
+  if (const Request* request = find(id)) {
+    connections_.cancel_attempt(request->handle);
+  }
+}
+
+void RequestHandler::reject(const std::string& id, Tenths retry_after) {
+  ++counters_.requests_rejected;
+  const Request* request = find(id);
+  spdlog::debug("request_rejected retry_after_ms={} attempts={}", retry_after / kMs,
+                request ? request->attempts : 0);
+  const std::string line =
+      retry_after > 0 ? "BUSY " + std::to_string(retry_after / kMs) + "\r\n" : std::string("BUSY\r\n");
+  answer(id, FinalAnswer::busy, line);
+}
+
+void RequestHandler::fail(const std::string& id) {
+  ++counters_.requests_failed;
+  answer(id, FinalAnswer::error, kErrorLine);
+}
+
+void RequestHandler::migrate(const std::string& id) {
+  Request* request = find(id);
+  if (!request) {
+    return;
+  }
+  ++counters_.connections_migrated;
+  spdlog::debug("connection_migrated host={}", request->host);
+  const Handle handle = request->handle;
+  ledger_.answered(id);
+  request->client_done = true;
+  on_attempt_ended(handle, {AttemptProgress::established, TerminationReason::cancelled});
+  connections_.migrate(handle);
+}
+
+// The one way to a final answer. A rejection says that a retry is harmless; where it is not, the client is
+// told of a failure in its place.
+void RequestHandler::answer(const std::string& id, FinalAnswer kind, const std::string& line) {
+  const Request* request = find(id);
+  if (!request) {
+    return;
+  }
+  const Handle handle = request->handle;
+  const Violation violation = ledger_.may_answer(id, kind);
+  const bool failed_instead = violation == Violation::effect_may_repeat;
+  if (violation != Violation::none) {
+    report_violation("answer", id, violation);
+  }
+  ledger_.answered(id);
+  release(id);
+  if (violation == Violation::none || failed_instead) {
+    connections_.answer(handle, failed_instead ? kErrorLine : line);
+  }
+}
+
+void RequestHandler::release(const std::string& id) {
+  if (ledger_.close(id)) {
+    report_violation("close unanswered", id, Violation::none);
+  }
+  requests_.erase(id);
+}
+
+void RequestHandler::report_violation(const std::string& operation, const std::string& id,
+                                      Violation violation) {
+  ++counters_.rule_violations;
+  const Request* request = find(id);
+  spdlog::error("rule_violation operation=\"{}\" request={} violation=\"{}\"", operation,
+                request ? request->client_id : id, name_of(violation));
+}
+
+// ---- adopted connections ----
+
+void RequestHandler::reconnect(Handle handle) {
+  Request* request = find(handle);
+  if (!request || request->established || request->client_done) {
+    return;
+  }
+  request->between_attempts = false;
+  Tenths timeout = request->reconnect->attempt_time(loop_.now());
+  if (shutdown_.in_progress()) {
+    timeout = std::max<Tenths>(1, std::min(timeout, shutdown_.answers_due() - loop_.now()));
+  }
+  const Violation violation = begin_attempt(*request, id_of(handle), {.total = timeout, .connect = timeout});
+  if (violation == Violation::none) {
+    return;
+  }
+  request->between_attempts = true;
+  on_attempt_ended(handle, {AttemptProgress::not_connected, TerminationReason::withdrawn});
+}
+
+// Returns false when no attempt may follow. No single failure ends an adopted connection: only a rule, its
+// client, its host's leaving, this node's shutdown or the end of its time does.
+bool RequestHandler::reconnect_later(Handle handle, Request& request, AttemptResult result) {
+  if (request.between_attempts) {
+    return false;  // the ledger has refused the attempt
+  }
+  const bool listed = !endpoints_.address(request.host).empty();
+  const bool permitted = endpoints_.permits(request.host, EndpointUse::reconnect_later);
+  const Violation violation =
+      ledger_.may_begin(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
+  std::optional<Tenths> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
+  if (violation != Violation::none || shutdown_.in_progress()) {
+    delay.reset();
+  }
+  log_reconnect(request, result, delay, violation);
+  if (!delay) {
+    return false;
+  }
+  ++counters_.reconnects;
+  request.between_attempts = true;
+  EventLoop::Deadline retry;  // never cancelled: `reconnect` looks whether it still applies
+  loop_.at(retry, loop_.now() + *delay, [this, handle] { reconnect(handle); });
+  return true;
+}
+
+void RequestHandler::log_reconnect(const Request& request, AttemptResult result, std::optional<Tenths> delay,
+                                   Violation violation) const {
+  const Tenths duration = loop_.now() - request.sent_at;
+  if (delay) {
+    spdlog::info("reconnect_scheduled request={} host={} duration_ms={} progress={} reason={} delay_ms={}",
+                 request.client_id, request.host, duration / kMs, name_of(result.progress),
+                 name_of(result.reason), *delay / kMs);
+    return;
+  }
+  const char* cause = violation != Violation::none ? name_of(violation)
+                      : shutdown_.in_progress()    ? "the node ends"
+                                                   : "its time is over";
+  spdlog::warn("reconnect_abandoned request={} host={} duration_ms={} progress={} reason={} cause=\"{}\"",
+               request.client_id, request.host, duration / kMs, name_of(result.progress),
+               name_of(result.reason), cause);
+}
+
+// ---- shutdown and what others ask ----
+
+void RequestHandler::shorten_to_shutdown() {
+  connections_.shorten_attempts(shutdown_.answers_due());
+  ledger_.expire_by(shutdown_.ends_by());
+}
+
+void RequestHandler::close_all() {
+  std::vector<std::string> left;
+  for (const auto& [id, request] : requests_) {
+    if (!request.client_done) {
+      left.push_back(id);
+    }
+  }
+  for (const std::string& id : left) {
+    const Request& request = requests_.at(id);
+    const bool established = request.established || request.adopted;
+    spdlog::warn("closed_at_shutdown request={} answer={}", request.client_id,
+                 established ? "migrate" : "fail");
+    if (established) {
+      migrate(id);
+    } else {
+      fail(id);
+    }
+  }
+}
+
+bool RequestHandler::idle() {
+  return requests_.empty() && connections_.busy() == 0;
+}
+
+PeerLoadTable::Counts RequestHandler::load_by_host() const {
+  PeerLoadTable::Counts counts;
+  for (const auto& [id, request] : requests_) {
+    if (request.attempt_in_progress && !request.client_done) {
+      ++counts[request.host];
+    }
+  }
+  return counts;
+}
+
+}  // namespace dapplewharf
--- /dev/null
+++ b/src/node/upstream_attempt.cpp
@@ -0,0 +1,230 @@
+// The steps of an attempt, in their order: begin, connect, send the request, await the answer, end.
+// Design: docs/design.md.
+#include "node/upstream_attempt.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace dapplewharf {
+namespace {
+
+constexpr Tenths kConnectRetryDelay = 10 * kMs;  // after connecting failed on this machine
+constexpr std::size_t kLoggedAnswerBytes = 80;
+
+}  // namespace
+
+UpstreamAttempts::UpstreamAttempts(EventLoop& loop, Counters& counters, const Limits& limits,
+                                   LogRateLimit& log_limit, AttemptOwner& owner)
+    : loop_(loop), counters_(counters), limits_(limits), log_limit_(log_limit), owner_(owner) {}
+
+void UpstreamAttempts::begin(Handle handle, const AttemptParameters& parameters) {
+  ProxiedConnection* connection = owner_.find(handle);
+  if (!connection || connection->phase != ProxiedConnection::Phase::waiting || connection->attempt.active) {
+    return;
+  }
+  ++counters_.attempts;
+  connection->attempt = {};
+  connection->attempt.active = true;
+  connection->attempt.deadline = loop_.now() + parameters.timeout;
+  // The client may have left in this very turn; a host would then work for nobody.
+  connection = read_client_first(handle);
+  if (!connection) {
+    return;
+  }
+  if (!parameters.address) {
+    return end(handle, *connection, TerminationReason::connection_broken);
+  }
+  const Tenths connect_timeout = parameters.connect_timeout.value_or(limits_.connect_time);
+  connect(handle,
+          {*parameters.address, std::min(connection->attempt.deadline, loop_.now() + connect_timeout)});
+}
+
+ProxiedConnection* UpstreamAttempts::find_active(Handle handle) {
+  ProxiedConnection* connection = owner_.find(handle);
+  return connection && connection->attempt.active ? connection : nullptr;
+}
+
+// Reads what the client has sent by now, or its end. Returns null when that ended the attempt.
+ProxiedConnection* UpstreamAttempts::read_client_first(Handle handle) {
+  if (owner_.find(handle)->client.socket.has_news()) {
+    owner_.read_client(handle);
+  }
+  return find_active(handle);
+}
+
+void UpstreamAttempts::connect(Handle handle, const ConnectTarget& target) {
+  ProxiedConnection* connection = find_active(handle);
+  if (!connection) {
+    return;
+  }
+  if (Socket::short_of(limits_.descriptors, kKeptBack)) {
+    owner_.free_descriptor();
+  }
+  switch (dial(target.address, limits_.descriptors, kKeptBack, connection->host.socket)) {
+    case Dial::refused:
+      return end(handle, *connection, TerminationReason::connection_broken);
+    case Dial::no_descriptor:
+      return end(handle, *connection, TerminationReason::no_descriptor);
+    case Dial::local_failure:
+      return retry_connect(handle, *connection, target);
+    case Dial::begun:
+      break;
+  }
+  connection->host.watched = loop_.watch(connection->host.socket.number(), POLLOUT,
+                                         [this, handle](short) { owner_.on_host_ready(handle); });
+  set_timeout(handle, *connection, target.deadline);
+}
+
+// A failure on this machine is retried until the time to connect is over. Reported at once, it would count
+// against the host or use up all attempts of the request.
+void UpstreamAttempts::retry_connect(Handle handle, ProxiedConnection& connection,
+                                     const ConnectTarget& target) {
+  ++counters_.local_connect_failures;
+  if (loop_.now() + kConnectRetryDelay >= target.deadline) {
+    return end(handle, connection, TerminationReason::local_failure);
+  }
+  loop_.at(connection.deadline, loop_.now() + kConnectRetryDelay, [this, handle, target] {
+    if (find_active(handle) && may_still_send(handle)) {
+      connect(handle, target);
+    }
+  });
+}
+
+void UpstreamAttempts::set_timeout(Handle handle, ProxiedConnection& connection, Tenths when) {
+  loop_.at(connection.deadline, when, [this, handle] {
+    if (ProxiedConnection* late = owner_.find(handle)) {
+      end(handle, *late, TerminationReason::timed_out);
+    }
+  });
+}
+
+// A connection may be established long after its host was chosen. Meanwhile the client may have left, the
+// host may have begun to drain, or the time may be over, also during a pause of the process. Nothing has been
+// sent yet, so the host cannot have run the request.
+bool UpstreamAttempts::may_still_send(Handle handle) {
+  ProxiedConnection* connection = read_client_first(handle);
+  if (!connection) {
+    return false;
+  }
+  if (loop_.now() >= connection->attempt.deadline) {
+    end(handle, *connection, TerminationReason::timed_out);
+    return false;
+  }
+  if (!owner_.may_send(handle)) {
+    end(handle, *connection, TerminationReason::withdrawn);
+    return false;
+  }
+  return true;
+}
+
+void UpstreamAttempts::on_host_ready(Handle handle, ProxiedConnection& connection) {
+  if (connection.attempt.progress == AttemptProgress::not_connected && !begin_sending(handle, connection)) {
+    return;
+  }
+  if (connection.attempt.progress == AttemptProgress::partly_written && !send_request(handle, connection)) {
+    return;
+  }
+  await_answer(handle, connection);
+}
+
+// Returns false when the attempt has ended.
+bool UpstreamAttempts::begin_sending(Handle handle, ProxiedConnection& connection) {
+  if (!connection.host.socket.connected()) {
+    end(handle, connection, TerminationReason::connection_broken);
+    return false;
+  }
+  if (!may_still_send(handle)) {
+    return false;
+  }
+  connection.attempt.progress = AttemptProgress::partly_written;
+  connection.host.pending = with_wait(connection.request, connection.attempt.deadline - loop_.now());
+  set_timeout(handle, connection, connection.attempt.deadline);
+  return true;
+}
+
+// Returns false when the attempt has ended.
+bool UpstreamAttempts::send_request(Handle handle, ProxiedConnection& connection) {
+  Peer& host = connection.host;
+  const auto sent = host.socket.send(host.pending.data(), host.pending.size());
+  if (!sent) {
+    end(handle, connection, TerminationReason::connection_broken);
+    return false;
+  }
+  host.pending.erase(0, *sent);
+  if (host.pending.empty()) {
+    connection.attempt.progress = AttemptProgress::written;
+    ++counters_.attempts_written;
+  }
+  loop_.want(host.watched, host.pending.empty() ? POLLIN : POLLIN | POLLOUT);
+  return true;
+}
+
+void UpstreamAttempts::await_answer(Handle handle, ProxiedConnection& connection) {
+  std::string& answer = connection.attempt.answer;
+  bool host_closed = false;
+  const auto received = connection.host.socket.receive(answer, kPeerBufferBytes - answer.size(), host_closed);
+  if (!received) {
+    return end(handle, connection, TerminationReason::connection_broken);
+  }
+  const std::size_t line_end = answer.find('\n');
+  if (line_end != std::string::npos) {
+    return take_answer(handle, connection, line_end + 1, host_closed);
+  }
+  if (host_closed) {
+    end(handle, connection, TerminationReason::closed);
+  } else if (answer.size() > kLongestLine) {
+    end(handle, connection, TerminationReason::malformed_answer);
+  }
+}
+
+void UpstreamAttempts::take_answer(Handle handle, ProxiedConnection& connection, std::size_t answer_bytes,
+                                   bool host_closed) {
+  const std::string_view line = std::string_view(connection.attempt.answer).substr(0, answer_bytes);
+  const Word word = word_of(line);
+  if (word == Word::busy) {
+    return end(handle, connection, TerminationReason::busy);
+  }
+  if (word == Word::error) {
+    return end(handle, connection, TerminationReason::error);
+  }
+  if (word != Word::up || connection.attempt.progress != AttemptProgress::written) {
+    if (log_limit_.allow()) {
+      spdlog::warn("malformed_answer line=\"{}\"",
+                   line.substr(0, std::min(answer_bytes - 1, kLoggedAnswerBytes)));
+    }
+    return end(handle, connection, TerminationReason::malformed_answer);
+  }
+  loop_.cancel(connection.deadline);
+  connection.attempt.progress = AttemptProgress::established;
+  connection.host.read_closed = host_closed;
+  ++counters_.attempts_established;
+  owner_.on_attempt_established(handle, connection, answer_bytes);
+}
+
+void UpstreamAttempts::end(Handle handle, ProxiedConnection& connection, TerminationReason reason) {
+  if (!connection.attempt.active) {
+    return;
+  }
+  connection.attempt.active = false;
+  loop_.cancel(connection.deadline);
+  close_host(connection);
+  owner_.on_attempt_ended(handle, {connection.attempt.progress, reason});
+}
+
+void UpstreamAttempts::shorten(Handle handle, ProxiedConnection& connection, Tenths deadline) {
+  AttemptState& attempt = connection.attempt;
+  const bool waiting = connection.phase == ProxiedConnection::Phase::waiting;
+  if (!attempt.active || !waiting || attempt.deadline <= deadline) {
+    return;
+  }
+  attempt.deadline = deadline;
+  set_timeout(handle, connection, std::min(connection.deadline.when, deadline));
+}
+
+void UpstreamAttempts::close_host(ProxiedConnection& connection) {
+  loop_.unwatch(connection.host.watched);
+  connection.host = Peer();
+}
+
+}  // namespace dapplewharf
--- a/tests/gossip/peer_load_table_test.cpp
+++ b/tests/gossip/peer_load_table_test.cpp
@@ -111,7 +111,7 @@
   }
   EXPECT_EQ(two.elsewhere("a").value_or(-1), 3);
   EXPECT_FALSE(one.elsewhere("a"));
-  EXPECT_EQ(counters.words_passed, 1U);
+  EXPECT_EQ(counters.gossip_ignored, 1U);
   GossipSocket alone(loop, counters, {}, 4);
   alone.tell({{"a", 1}});
   EXPECT_FALSE(alone.elsewhere("a"));
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -393,7 +393,7 @@
   EXPECT_EQ(probed, TerminationReason::no_descriptor);
   bool lost = false;
   EndpointDiscovery discovery(loop, counters, at, limits, 1,
-                              {[](const EndpointSnapshot&) {}, [&] { lost = true; }});
+                              {.listed = [](const EndpointSnapshot&) {}, .lost = [&] { lost = true; }});
   discovery.fetch();
   for (int i = 0; i < 5; ++i) {
     loop.turn(100);
--- a/tests/tools/count.sh
+++ b/tests/tools/count.sh
@@ -3,12 +3,12 @@
 set -eu
 counted=$(printf '%s\n' \
   '0.100 2026-01-01T00:00:00.100 info started' \
-  '0.200 2026-01-01T00:00:00.200 debug host h1 is up, ms 4' \
-  '0.300 2026-01-01T00:00:00.300 debug host h1 is up, ms 4, from before' \
-  '1.000 2026-01-01T00:00:01.000 debug host h2 ended a try, outcome 3, after ms 90' \
-  '1.500 2026-01-01T00:00:01.500 debug host h2 ended a connection, outcome 5, after ms 900' \
-  '1.600 2026-01-01T00:00:01.600 debug host h2 ended a connection, outcome 0, after ms 900' \
-  '2.000 2026-01-01T00:00:02.000 debug rejected, back in ms 300, tries 1' \
+  '0.200 2026-01-01T00:00:00.200 debug connection_established host=h1 setup_ms=4 adopted=false' \
+  '0.300 2026-01-01T00:00:00.300 debug connection_established host=h1 setup_ms=4 adopted=true' \
+  '1.000 2026-01-01T00:00:01.000 debug attempt_ended host=h2 outcome=timed_out duration_ms=90' \
+  '1.500 2026-01-01T00:00:01.500 debug connection_ended host=h2 outcome=connection_lost duration_ms=900' \
+  '1.600 2026-01-01T00:00:01.600 debug connection_ended host=h2 outcome=succeeded duration_ms=900' \
+  '2.000 2026-01-01T00:00:02.000 debug request_rejected retry_after_ms=300 attempts=1' \
   '2.100 2026-01-01T00:00:02.100 info weights frozen, degraded 3 of 4' \
   'no line of a log' | awk -f "$1")
 expected='second up failed dropped moved rejected cold bad lists frozen
--- a/tools/count.awk
+++ b/tools/count.awk
@@ -10,14 +10,14 @@
   text = $0
   sub(/^[^ ]+ [^ ]+ [^ ]+ /, "", text)
 }
-text ~ /^host [^ ]+ is up, ms [0-9]+$/ { ++up[second] }
-text ~ /ended a try, outcome [1-5]/ { ++failed[second] }
-text ~ /ended a connection, outcome 5/ { ++dropped[second] }
-text ~ /ended a connection, outcome 6/ { ++moved[second] }
-text ~ /^rejected/ { ++rejected[second] }
+text ~ /^connection_established host=[^ ]+ setup_ms=[0-9]+ adopted=false$/ { ++up[second] }
+text ~ /^attempt_ended .*outcome=(error|rejected|timed_out|connect_failed|connection_lost) / { ++failed[second] }
+text ~ /^connection_ended .*outcome=connection_lost / { ++dropped[second] }
+text ~ /^connection_ended .*outcome=cancelled / { ++moved[second] }
+text ~ /^request_rejected / { ++rejected[second] }
 text ~ /starts cold/ { ++cold[second] }
 text ~ /(probes|set-ups) bad/ { ++bad[second] }
-text ~ /^discovery's answer is lost/ { ++lists[second] }
+text ~ /^endpoint_list_call_lost / { ++lists[second] }
 text ~ /^weights frozen/ { ++frozen[second] }
 END {
   print "second up failed dropped moved rejected cold bad lists frozen"
