--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -2,7 +2,6 @@
 
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
-#include <poll.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -12,12 +11,15 @@
 #include <charconv>
 #include <cstring>
 
+#include "base/retry.h"
+
 namespace dapplewharf {
 namespace {
 
 constexpr int kSendTries = 64;
 constexpr int kPassingTries = 80;  // 8 s: a restarted process is to be ready within 10 s
-constexpr int kBindTries = 20, kBindWaitMs = 100;
+constexpr int kBindTries = 20;
+constexpr std::chrono::milliseconds kBindDelay{100};
 
 // Of a read or write on a socket that stands: nothing has happened to the connection.
 bool may_be_called_again(int error) {
@@ -167,7 +169,8 @@
 }
 
 std::optional<std::string> listen_at(const sockaddr_in& at, Socket& socket) {
-  for (int i = 0;; ++i) {
+  int error = 0;
+  const bool listens = retry_blocking({kPassingTries, kBindDelay}, [&](int attempt) {
     Socket made(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
     if (made) {
@@ -176,17 +179,17 @@
     if (made && bind(made.number(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 &&
         listen(made.number(), SOMAXCONN) == 0) {
       socket = std::move(made);
-      return std::nullopt;
+      return StepResult::succeeded;
     }
-    // Danger: at a restart the process before this one may not quite have gone. An address that is not this
-    // machine's never becomes it.
-    const bool taken = errno == EADDRINUSE;
-    const bool passes = is_local_and_passing(errno) && errno != EADDRNOTAVAIL;
-    if (i + 1 >= (taken ? kBindTries : passes ? kPassingTries : 0)) {
-      return std::string(std::strerror(errno));
+    error = errno;
+    if (error == EADDRINUSE) {  // the process before this one may not quite have ended
+      return attempt < kBindTries ? StepResult::retry : StepResult::failed;
     }
-    poll(nullptr, 0, kBindWaitMs);
-  }
+    // An address that is not this machine's never becomes one.
+    const bool passing = is_local_and_passing(error) && error != EADDRNOTAVAIL;
+    return passing ? StepResult::retry : StepResult::failed;
+  });
+  return listens ? std::nullopt : std::optional(std::string(std::strerror(error)));
 }
 
 }  // namespace dapplewharf
--- a/src/node/reload.cpp
+++ b/src/node/reload.cpp
@@ -1,30 +1,37 @@
+// The retries of a read that failed. Design: docs/design.md.
 #include "node/reload.h"
 
-#include <chrono>
-#include <thread>
+#include "base/retry.h"
 
 namespace dapplewharf {
+namespace {
+
+constexpr RetrySchedule kReadAtStart{.max_attempts = 20, .delay = std::chrono::milliseconds(50)};
+
+}  // namespace
 
 Read read_at_start(const Files& files) {
-  constexpr int kTries = 20;
-  Read read = read_configuration(files, Source::environment_first);
-  for (int i = 1; i < kTries && !read.taken && read.unreadable; ++i) {
-    std::this_thread::sleep_for(std::chrono::milliseconds(50));
+  Read read;
+  retry_blocking(kReadAtStart, [&](int) {
     read = read_configuration(files, Source::environment_first);
-  }
+    if (read.taken) {
+      return StepResult::succeeded;
+    }
+    return read.unreadable ? StepResult::retry : StepResult::failed;
+  });
   return read;
 }
 
 void Reloader::reload() {
-  read(loop_.now() + kGivenUpAfter);
+  read(loop_.now() + kRetryFor);
 }
 
 void Reloader::read(Tenths until) {
   const Read found = read_configuration(files_, Source::file_only);
   if (!found.taken && found.unreadable && loop_.now() < until) {
-    return loop_.at(again_, loop_.now() + kAgainAfter, [this, until] { read(until); });
+    return loop_.at(retry_, loop_.now() + kRetryDelay, [this, until] { read(until); });
   }
-  loop_.cancel(again_);
+  loop_.cancel(retry_);
   node_.reload(found);
 }
 
--- /dev/null
+++ b/tests/node/attempt_result_test.cpp
@@ -0,0 +1,32 @@
+// From the end of an attempt to its outcome.
+#include "node/attempt_result.h"
+
+#include <gtest/gtest.h>
+
+using namespace dapplewharf;
+
+TEST(AttemptResult, OnlyWhatWasRejectedOrNeverSentCannotHaveRun) {
+  for (const Outcome outcome :
+       {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent, Outcome::withdrawn}) {
+    EXPECT_FALSE(may_have_run(outcome)) << name_of(outcome);
+  }
+  for (const Outcome outcome : {Outcome::succeeded, Outcome::error, Outcome::timed_out,
+                                Outcome::connection_lost, Outcome::cancelled}) {
+    EXPECT_TRUE(may_have_run(outcome)) << name_of(outcome);
+  }
+}
+
+TEST(AttemptResult, ShowsWhenAnAttemptNeverRan) {
+  for (const AttemptProgress reach : {AttemptProgress::not_connected, AttemptProgress::partly_written}) {
+    for (const TerminationReason cause :
+         {TerminationReason::connection_broken, TerminationReason::closed, TerminationReason::timed_out}) {
+      EXPECT_EQ(outcome_of({reach, cause}), Outcome::connect_failed);
+    }
+  }
+  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::connection_broken}),
+            Outcome::connection_lost);
+  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::timed_out}), Outcome::timed_out);
+  EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::busy}), Outcome::rejected);
+  EXPECT_EQ(outcome_of({AttemptProgress::not_connected, TerminationReason::no_descriptor}),
+            Outcome::not_sent);
+}
--- /dev/null
+++ b/tests/node/endpoint_discovery_test.cpp
@@ -0,0 +1,153 @@
+// Endpoint lists, and calls to discovery that are long, fail or hang.
+#include "node/endpoint_discovery.h"
+
+#include <gtest/gtest.h>
+
+#include "base/counters.h"
+#include "node/request_line.h"
+#include "support/fixtures.h"
+
+using namespace dapplewharf;
+
+namespace {
+
+// A list of hosts as it may come at worst: indented, with long names.
+std::string long_list(int hosts, int version, const std::string& lifecycle, const std::string& at) {
+  nlohmann::json named = nlohmann::json::array();
+  for (int i = 0; i < hosts; ++i) {
+    named.push_back({{"instanceId", "h" + std::to_string(i) + std::string(200, 'x')},
+                     {"hostPort", at},
+                     {"zone", "near"},
+                     {"machineType", std::string(64, 'k')},
+                     {"cell", i},
+                     {"weight", 1.0},
+                     {"startedAtMs", 0},
+                     {"lifecycle", lifecycle}});
+  }
+  return nlohmann::json({{"generation", version}, {"reset", true}, {"instances", named}}).dump(8);
+}
+
+}  // namespace
+
+TEST(Incarnations, AStepOfTheMachinesClockIsNoRestart) {
+  Incarnations starts;
+  const Tenths first = starts.place("h", 1000, 50000, 20000);
+  EXPECT_EQ(first, 40000);
+  EXPECT_EQ(starts.place("h", 1000, 60000, 90000), first);
+  EXPECT_GT(starts.place("h", 2000, 60000, 30000), first);
+  EXPECT_EQ(starts.place("h", 0, 60000, 30000), 0);
+}
+
+// A list that is refused leaves the node with its former endpoints for good.
+TEST(EndpointDiscovery, FollowsAThousandHostsIndentedWithLongNamesAndInPieces) {
+  for (const bool chunked : {false, true}) {
+    Net net(1024, true, [](Configuration& to) {
+      to.memory_mb = 32;
+      to.known = nlohmann::json::parse(long_list(1024, 1, "up", to.discovery));
+    });
+    const std::string body = long_list(1024, 2, "draining", Net::text_of(net.hosts_at));
+    EXPECT_GT(body.size(), 512u * 1024) << "more than was once read";
+    std::string answer = Net::http(body);
+    if (chunked) {
+      answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+      char size[16];
+      for (std::size_t i = 0; i < body.size(); i += 700) {
+        const std::string piece = body.substr(i, 700);
+        snprintf(size, sizeof size, "%zx\r\n", piece.size());
+        answer += size + piece + "\r\n";
+      }
+      answer += "0\r\n\r\n";
+    }
+    ASSERT_TRUE(net.until([&] { return net.asked.find("\r\n\r\n") != std::string::npos; }));
+    net.asked.clear();
+    const Tenths by = net.loop.now() + 20 * kSecond;
+    for (std::size_t i = 0; i < answer.size(); i += 1400) {
+      ASSERT_LT(net.loop.now(), by) << "it was refused on the way";
+      std::size_t sent = 0;
+      const std::string piece = answer.substr(i, 1400);
+      ASSERT_TRUE(net.until([&] {
+        sent += net.call.send(piece.data() + sent, piece.size() - sent).value_or(0);
+        return sent == piece.size();
+      }));
+      net.loop.turn(0);
+    }
+    EXPECT_TRUE(net.until([&] { return net.asked.find("after=2&") != std::string::npos; })) << chunked;
+    EXPECT_EQ(net.read(net.client("OPEN 6a" + std::to_string(chunked) + " 6b c=plain,t=x,d=2000,g=6c\r\n"))
+                  .substr(0, 4),
+              "BUSY")
+        << "all 1,024 drain";
+  }
+}
+
+TEST(EndpointDiscovery, IsCalledAgainAfterFailuresAndItsListIsFollowed) {
+  Net net;
+  net.answers = {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Net::http("garbage"),
+                 Net::http(R"({"generation":2,"reset":true,"instances":[]})")};
+  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, 5000));
+  const int client = net.client(request_line());
+  EXPECT_EQ(net.read(client).substr(0, 4), "BUSY");
+}
+
+TEST(EndpointDiscovery, IsAskedForTheCompleteListWithoutAKnownOne) {
+  Net net(1024, false);
+  EXPECT_TRUE(net.until([&] { return net.asked.find("\r\n\r\n") != std::string::npos; }, 1000));
+  EXPECT_EQ(net.asked.substr(0, 18), "GET /api/targets H") << "changes since nothing may leave hosts out";
+  net.answers = {Net::http(R"({"generation":9,"reset":true,"instances":[{"instanceId":"h0","hostPort":")" +
+                           Net::text_of(net.hosts_at) + R"(","zone":"near","lifecycle":"up"}]})")};
+  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
+  EXPECT_TRUE(net.until([&] { return net.asked.find("after=9") != std::string::npos; }, 1000))
+      << "then it watches";
+  const int client = net.client(request_line());
+  const int host = net.host_accepts();
+  net.write(host, "UP x\r\n");
+  EXPECT_EQ(net.read(client), "UP x\r\n");
+}
+
+TEST(EndpointDiscovery, AKeptConnectionThatItClosedCostsNoLoss) {
+  Net net;
+  const std::string none = R"({"generation":2,"reset":false,"instances":[]})";
+  net.answers = {Net::http(none)};
+  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
+  net.run(20);
+  net.call.close();  // the next call is out already, or is to be made anew
+  net.asked.clear();
+  net.answers = {Net::http(R"({"generation":3,"reset":true,"instances":[]})")};
+  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, 450)) << "a watch goes on within 200 ms";
+}
+
+TEST(EndpointDiscovery, ACallThatHangsIsGivenUpBeforeTheNodeCountsAsNotified) {
+  Net net;
+  net.answers = {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf a body"};
+  EXPECT_TRUE(net.until([&] { return net.calls == 1; }));
+  EXPECT_TRUE(net.until([&] { return net.calls == 2; }, 9000))
+      << "two seconds after the wait of five, and a retry";
+}
+
+// Operators' term: idle clients may fill the descriptors while discovery is down.
+TEST(EndpointDiscovery, HasTheLastDescriptorsThatNoHealthCheckTakes) {
+  EventLoop loop;
+  Counters counters;
+  const Limits limits{96, kSecond};
+  Socket listener;
+  const std::string at = Net::text_of(Net::listening(listener));
+  std::vector<Socket> idle;
+  while (!Socket::short_of(limits.descriptors, kProbesLeave)) {
+    idle.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
+  }
+  std::optional<TerminationReason> probed;
+  HealthChecker probes(loop, counters, limits, [&](const std::string&, const HealthChecker::Probed& end) {
+    probed = end.end.reason;
+  });
+  probes.probe("h0", at);
+  EXPECT_EQ(probed, TerminationReason::no_descriptor);
+  bool lost = false;
+  EndpointDiscovery discovery(loop, counters, at, limits, 1,
+                              {.listed = [](const EndpointSnapshot&) {}, .lost = [&] { lost = true; }});
+  discovery.fetch();
+  for (int i = 0; i < 5; ++i) {
+    loop.turn(100);
+  }
+  EXPECT_FALSE(lost);
+  EXPECT_TRUE(Socket(accept4(listener.number(), nullptr, nullptr, SOCK_NONBLOCK)))
+      << "its connection has come";
+}
--- /dev/null
+++ b/tests/node/listener_test.cpp
@@ -0,0 +1,24 @@
+// Accepting when descriptors are short.
+#include "node/listener.h"
+
+#include <gtest/gtest.h>
+
+#include "node/request_line.h"
+#include "support/fixtures.h"
+
+using namespace dapplewharf;
+
+TEST(Listener, AnswersEveryClientWhenDescriptorsAreShort) {
+  Net net(64);
+  std::vector<int> clients;
+  for (int i = 0; i < 60; ++i) {
+    clients.push_back(net.client(request_line()));
+  }
+  for (const int client : clients) {
+    EXPECT_EQ(net.read(client, 4, 3000).substr(0, 4), "BUSY");
+  }
+  for (const int client : clients) {
+    net.reset(client);
+  }
+  EXPECT_EQ(net.read(net.client("PING\r\n")), "PONG\r\n");
+}
