--- a/tests/config/config_tool.sh
+++ b/tests/config/config_tool.sh
@@ -54,7 +54,7 @@
 file=$dir/sidecars/host-floor.dw
 cp "$file" "$dir/kept"
 sed -i 's/expiry = 3.2s/expiry = 3/' "$file"; kill -HUP "${nodes[0]}"; sleep 0.4
-grep -q "configuration not taken, .*host-floor.dw:[0-9]*:[0-9]*: 'expiry' is 3, which has no unit" "$dir/host-floor.log" || fail "a faulty file at SIGHUP"
+grep -q "configuration_rejected .*host-floor.dw:[0-9]*:[0-9]*: 'expiry' is 3, which has no unit" "$dir/host-floor.log" || fail "a faulty file at SIGHUP"
 sed 's/expiry = 3.2s/expiry = 2.5s/' "$dir/kept" >"$file"; kill -HUP "${nodes[0]}"; sleep 0.4
 grep -q "configuration_reloaded discovery=" "$dir/host-floor.log" || fail "a good file at SIGHUP"
 sed 's/^const listen = [0-9.:]*/const listen = 127.0.0.1:8999/' "$dir/kept" >"$file"; kill -HUP "${nodes[0]}"; sleep 0.4
