--- /dev/null
+++ b/src/policy/flat_words.h
@@ -0,0 +1,15 @@
+// Conversions between the earlier flat words (policy/words.h) and the typed events, actions and settings.
+// Temporary: gone once no caller uses the flat ones.
+#pragma once
+#include "policy/actions.h"
+#include "policy/events.h"
+#include "policy/settings.h"
+#include "policy/words.h"
+
+namespace dapplewharf {
+
+Event to_flat(const PolicyEvent& event);
+PolicyAction from_flat(const Action& action);
+Settings settings_from_map(const SettingsMap& from);
+
+}  // namespace dapplewharf
--- a/src/policy/load_balancer.h
+++ b/src/policy/load_balancer.h
@@ -1,22 +1,36 @@
-// The interface of the decision module. One LoadBalancer is one node: it shares nothing with any other.
-// Give it the settings and a seed once, then each batch of events with the clock; it answers with actions in
-// order. Events, actions and settings are plain values defined in src/words.h.
+// The interface of the load-balancing policy: every decision of one node and nothing else (docs/design.md).
+// Events go in, actions come out; the policy reads no clock, opens no socket and draws chance only from its
+// seed, so that the node, the simulator's adapter and the emulator run the very same decisions.
 #pragma once
+#include <cstdint>
 #include <memory>
+#include <vector>
 
+#include "policy/actions.h"
+#include "policy/events.h"
+#include "policy/settings.h"
 #include "policy/words.h"
 
 namespace dapplewharf {
 
+/// The decisions of one node. It shares nothing with any other node's.
 class LoadBalancer {
  public:
-  // Throws std::runtime_error naming a setting that a rule needs and that is missing.
-  LoadBalancer(SettingsMap settings, std::uint64_t seed, Tenths now);
+  /// @param seed of all chance drawn here.
+  /// @param now monotonic time in ticks of 0.1 ms.
+  LoadBalancer(Settings settings, std::uint64_t seed, TimePoint now);
+  LoadBalancer(const SettingsMap& settings, std::uint64_t seed, TimePoint now);
   ~LoadBalancer();
 
-  void update_settings(
-      SettingsMap settings);  // others from now on; sound ones, as a LoadBalancer made of them has shown
-  std::vector<Action> handle_events(Tenths now, const std::vector<Event>& events);
+  /// Replaces the settings from the next event on.
+  void update_settings(Settings settings);
+  void update_settings(const SettingsMap& settings);
+
+  /// Decides on a batch of events, in their order.
+  /// @param now monotonic time; a time before the last one counts as the last one.
+  /// @return the actions to carry out, in order.
+  std::vector<PolicyAction> handle_events(TimePoint now, const std::vector<PolicyEvent>& events);
+  std::vector<Action> handle_events(TimePoint now, const std::vector<Event>& events);
 
  private:
   struct Parts;
--- a/src/policy/request_ledger.cpp
+++ b/src/policy/request_ledger.cpp
@@ -44,16 +44,16 @@
 
 bool RequestLedger::repeat_is_dropped(const RepeatRule& rule, const Attempt& earlier,
                                       const EndpointLocation& to, Tenths now) {
-  if (rule.effect == Idempotency::idempotent) {
+  if (rule.idempotency == Idempotency::idempotent) {
     return true;
   }
-  if (rule.effect == Idempotency::non_idempotent || now - earlier.since + kRepeatMargin >= rule.window) {
+  if (rule.idempotency == Idempotency::non_idempotent || now - earlier.since + kRepeatMargin >= rule.window) {
     return false;
   }
   if (earlier.to.host == to.host) {
     return true;
   }
-  switch (rule.group) {
+  switch (rule.scope) {
     case DeduplicationScope::all:
       return true;
     case DeduplicationScope::zone:
@@ -148,11 +148,11 @@
   if (request.answered && answer != FinalAnswer::move) {
     return Violation::already_answered;
   }
-  if (answer != FinalAnswer::busy || request.rule.effect == Idempotency::idempotent) {
+  if (answer != FinalAnswer::busy || request.rule.idempotency == Idempotency::idempotent) {
     return Violation::none;
   }
   const bool dropped_anywhere =
-      request.rule.effect == Idempotency::deduplicated && request.rule.group == DeduplicationScope::all;
+      request.rule.idempotency == Idempotency::deduplicated && request.rule.scope == DeduplicationScope::all;
   for (const Attempt& earlier : request.attempts) {
     if ((earlier.out || earlier.may_have_run) && !dropped_anywhere) {
       return Violation::effect_may_repeat;
--- a/src/policy/request_ledger.h
+++ b/src/policy/request_ledger.h
@@ -10,29 +10,10 @@
 #include <vector>
 
 #include "base/time.h"
+#include "policy/retry_policy.h"
 
 namespace dapplewharf {
 
-// A process may be held up for 0.15 s between reading its clock and writing (standing test), and what it
-// writes takes a moment to arrive: a repeat has to begin so long before its window ends.
-inline constexpr Tenths kRepeatMargin = 200 * kMs;
-
-enum class Idempotency { idempotent, deduplicated, non_idempotent };
-enum class DeduplicationScope { all, zone, cell };
-
-// What a traffic type's settings say about repeats.
-struct RepeatRule {
-  Idempotency effect = Idempotency::non_idempotent;
-  DeduplicationScope group = DeduplicationScope::all;
-  Tenths window = 0;  // within which a repeat inside the group is dropped
-};
-
-// Where a host stands, as far as repeats inside a group are concerned.
-struct EndpointLocation {
-  std::string host, zone;
-  std::int64_t cell = 0;
-};
-
 enum class FinalAnswer { up, busy, error, move };
 
 enum class Violation {
--- /dev/null
+++ b/src/policy/request_table.h
@@ -0,0 +1,418 @@
+// Requests in flight and connections: their attempts, their deadline and their one final answer.
+#pragma once
+#include <deque>
+#include <map>
+#include <set>
+
+#include "policy/constants.h"
+#include "policy/messages.h"
+#include "policy/retry_policy.h"
+
+namespace dapplewharf {
+
+// Holds the attachments: their tries, their expiry and their one final answer.
+class RequestTable {
+ public:
+  Inbox inbox;
+  explicit RequestTable(PolicyContext& around) : context_(around) {}
+
+  void read(const Note& note) {
+    switch (note.topic) {
+      case Topic::event:
+        happened(note.event);
+        break;
+      case Topic::route:
+      case Topic::passed:
+        ask(note);
+        break;
+      case Topic::evict:
+        evict(note.host, note.part, note.fleet.spare, note.fleet.each >= kOverBy, note.leaving);
+        break;
+      case Topic::taken:
+        send(note.event.id, note.host);
+        break;
+      default:
+        return;
+    }
+    forget(note.event.id);
+  }
+
+ private:
+  void forget(const std::string& id) {
+    const auto found = held_.find(id);
+    if (found == held_.end() || !found->second.answered) {
+      return;
+    }
+    for (const Attempt& made : found->second.tries) {
+      if (made.out) {
+        return;
+      }
+    }
+    held_.erase(found);
+  }
+
+  std::optional<Duration> setup_latency_objective(const Request& held) const {
+    const TrafficClass* traffic = context_.settings.find_traffic(held.event.traffic_type);
+    return traffic ? traffic->setup_latency_objective : std::nullopt;
+  }
+
+  void happened(const Event& event) {
+    // Danger: what would be answered only after this node's end is never answered.
+    if (event.kind == EventKind::stopping && event.expiry > 0) {
+      for (auto& [id, held] : held_) {
+        held.event.expiry = std::min(held.event.expiry, event.expiry);
+      }
+    }
+    if (event.kind == EventKind::attachment || event.kind == EventKind::handed_over) {
+      return arrives(event);
+    }
+    const auto found = held_.find(event.id);
+    if (found == held_.end()) {
+      return;
+    }
+    Request& held = found->second;
+    switch (event.kind) {
+      case EventKind::established:
+        stands(held, event);
+        break;
+      case EventKind::try_ended:
+        ended(held, event);
+        break;
+      case EventKind::client_left:
+        held.answered = true;
+        break;
+      case EventKind::delay_told:
+        tell_host(event, event.host);
+        break;
+      case EventKind::unanswered:  // danger: it hangs though its host serves others, or while frozen
+        if (held.standing && !held.answered && event.figure >= kLineSilent) {
+          move(held);
+        }
+        break;
+      default:
+        break;
+    }
+  }
+
+  void tell_host(const Event& event, const std::string& host, bool standing = false) {
+    Note& note = context_.write(Part::host, Topic::event, host);
+    note.event = event;
+    note.standing = standing;
+  }
+
+  void arrives(const Event& event) {
+    Request held;
+    held.event = event;
+    if (const TrafficClass* traffic = context_.settings.find_traffic(event.traffic_type)) {
+      held.repeat_rule = traffic->repeat_rule;
+    }
+    if (event.kind == EventKind::handed_over) {
+      held.standing = true;
+      held.pending = event.pending;
+      held.tries.push_back({event.host, context_.now, true, true});
+      tell_host(event, event.host);
+    }
+    held_[event.id] = held;
+    if (event.kind != EventKind::attachment) {
+      return;
+    }
+    if (context_.settings.retry_budget) {
+      taken_.push_back(context_.now);
+    }
+    seek(held_[event.id]);
+  }
+
+  void stands(Request& held, const Event& event) {
+    held.pending = false;
+    if (!std::exchange(held.standing, true)) {
+      --out_;  // a connection from before was no try of this node
+    }
+    keep_last(times_, event.took, kTimes);
+    Event told = event;  // with the time beyond which a set-up is a bad one
+    told.expiry = setup_latency_objective(held).value_or(0) / 2;
+    learn(event.host, event.took <= told.expiry);
+    if (behind_all()) {
+      told.expiry = kNever;
+    }
+    tell_host(told, event.host);
+  }
+
+  // Danger: what stands behind all hosts (a store) is slow or full, and all nodes' repeats keep it full. When
+  // set-ups go wrong at most hosts in a second no host is blamed; as many are out as still come through.
+  void learn(const std::string& host, bool good) {
+    std::erase_if(lately_, [&](const auto& one) { return context_.now - one.second.first > kSecond; });
+    lately_[host] = {context_.now, good};
+    if (good) {
+      window_ += 1 / window_, good_at_ = context_.now;
+    }
+    if (good || !behind_all() || context_.now - cut_at_ < kPulse * 2) {
+      return;
+    }
+    if (!limited()) {
+      window_ = out_ + 1, context_.log("set-ups go wrong at most hosts, out " + std::to_string(out_));
+    }
+    window_ = std::max(1.0, window_ / 2), cut_at_ = context_.now;
+  }
+  bool behind_all() const {
+    const auto bad =
+        std::count_if(lately_.begin(), lately_.end(), [](auto& one) { return !one.second.second; });
+    // Danger: with few out results come one by one, and each would be taken for its host's fault.
+    if (limited() && good_at_ < cut_at_) {
+      return true;
+    }
+    return bad >= kBadRun && bad * 2 > static_cast<std::ptrdiff_t>(lately_.size());
+  }
+  bool limited() const { return cut_at_ > 0 && context_.now - cut_at_ < kTroubleHeld; }
+
+  void ended(Request& held, const Event& event) {
+    if (event.number < 0 || event.number >= static_cast<int>(held.tries.size())) {
+      return;
+    }
+    Attempt& last = held.tries[static_cast<std::size_t>(event.number)];
+    if (!std::exchange(last.out, false)) {
+      return;
+    }
+    last.may_have_run = event.outcome != Outcome::rejected && event.outcome != Outcome::connect_failed &&
+                        event.outcome != Outcome::not_sent;
+    Event told = event;
+    // Danger: a host that leaves while its connection comes up would cost the attachment one of its tries.
+    if (event.outcome == Outcome::withdrawn) {
+      --out_, tell_host(event, last.host);
+      if (held.tries.size() > 1 && !further_.empty()) {
+        further_.pop_back();
+      }
+      held.tries.pop_back();
+      return held.answered ? void() : seek(held);
+    }
+    if (!held.standing) {
+      --out_;
+      // Danger: a host that takes no connection is down by itself, whatever stands behind the others.
+      if (event.outcome != Outcome::cancelled && event.outcome != Outcome::not_sent &&
+          event.outcome != Outcome::connect_failed) {
+        learn(last.host, false);
+        if (behind_all()) {
+          told.outcome = Outcome::cancelled;
+        }
+      }
+    }
+    tell_host(told, last.host, held.standing);
+    if (event.final || held.standing) {
+      held.answered = true;
+    }
+    if (!held.answered) {
+      seek(held);
+    }
+  }
+
+  // Whole groups move, the same at every node, so that a group is paid for at one host and not at two.
+  // Danger: a least of one at each of many nodes clears a host at a stroke; a group's hash says when it goes.
+  void evict(const std::string& host, double part, int spare, bool whole, bool leaving) {
+    std::erase_if(moved_, [this](Tenths when) { return context_.now - when >= kSecond; });
+    for (auto& [id, held] : held_) {
+      if (!held.standing || held.answered) {
+        continue;
+      }
+      if (!host.empty() && held.tries.back().host != host) {
+        continue;
+      }
+      // Danger: one that is still to come up again would be ended by a trouble that may pass.
+      if (held.pending && !host.empty() && !leaving) {
+        continue;
+      }
+      const auto& by = held.event.group && whole ? held.event.group : held.event.key;
+      const auto group = hash(by ? static_cast<std::uint64_t>(*by) : hash(id));
+      if (static_cast<double>(hash(group ^ hash(host)) >> 32) >= part * 4294967296.0) {
+        continue;
+      }
+      if (static_cast<int>(moved_.size()) >= spare) {
+        return;  // danger: moved work chases itself without room
+      }
+      move(held);
+    }
+  }
+
+  void move(Request& held) {
+    held.answered = true;  // the client comes again as a new attachment
+    context_.act(ActionKind::move, held.event.id, held.tries.back().host);
+    moved_.push_back(context_.now);
+  }
+
+  // The one place that decides whether an attachment may have another setup try.
+  bool may_be_tried_again(const Request& held) const {
+    if (held.answered || held.standing || context_.now >= held.event.expiry) {
+      return false;
+    }
+    if (static_cast<double>(held.tries.size()) >= context_.settings.max_attempts) {
+      return false;
+    }
+    for (const Attempt& earlier : held.tries) {
+      if (earlier.out) {
+        return false;  // danger: two out; a cancelled one is out until its result has come
+      }
+      if (!earlier.may_have_run || held.repeat_rule.idempotency == Idempotency::idempotent) {
+        continue;
+      }
+      if (held.repeat_rule.idempotency != Idempotency::deduplicated) {
+        return false;  // danger: an unrepeatable effect happens twice
+      }
+      if (context_.now - earlier.sent + kRepeatMargin >= held.repeat_rule.window) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  // Danger: each failure answered by another try makes one host's trouble everybody's work. Where tries
+  // beyond the first are rationed, whoever finds none left is answered at once. A tick to the safe side at
+  // both ends.
+  bool budget_allows() {
+    const std::optional<RetryBudgetSettings>& budget = context_.settings.retry_budget;
+    if (!budget) {
+      return true;
+    }
+    while (!taken_.empty() && context_.now - taken_.front() >= budget->window) {
+      taken_.pop_front();
+    }
+    while (!further_.empty() && context_.now - further_.front() > budget->window + 1) {
+      further_.pop_front();
+    }
+    return static_cast<double>(further_.size() + 1) <=
+           budget->min_retries + budget->retry_ratio * static_cast<double>(taken_.size());
+  }
+
+  // The one place that decides whether an attachment may be rejected: that says that a repeat is harmless.
+  bool may_be_rejected(const Request& held) const {
+    if (held.repeat_rule.idempotency == Idempotency::idempotent) {
+      return true;
+    }
+    for (const Attempt& earlier : held.tries) {
+      if ((earlier.out || earlier.may_have_run) &&
+          !(held.repeat_rule.idempotency == Idempotency::deduplicated &&
+            held.repeat_rule.scope == DeduplicationScope::all)) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  // Fairness: what lies beyond a tenant's share gives way first, and only while room is short.
+  bool beyond_share(const Request& held) const {
+    const Tenant* tenant = context_.settings.find_tenant(held.event.tenant);
+    const double share = tenant ? tenant->connections.value_or(0) / context_.settings.node_count : 0;
+    double open = 0;
+    for (const auto& [id, other] : held_) {
+      if (!other.answered && other.standing && other.event.tenant == held.event.tenant) {
+        ++open;
+      }
+    }
+    return share > 0 && open + 1 >= share + kOverBy;  // danger: a share under one shuts its tenant out
+  }
+
+  void seek(Request& held) {
+    if (!may_be_tried_again(held) || (limited() && out_ >= window_)) {
+      return give_up(held);
+    }
+    if (!budget_allows() && !held.tries.empty()) {
+      return give_up(held);  // asked of all: old ones go
+    }
+    Note& note = context_.write(Part::roster, Topic::seek);
+    note.event = held.event;
+    if (held.event.group) {
+      for (const auto& [id, other] : held_) {
+        if (other.standing && !other.answered && other.event.group == held.event.group) {
+          note.homes.insert(other.tries.back().host), ++note.members;
+        }
+      }
+    }
+    for (const Attempt& earlier : held.tries) {
+      note.hosts.push_back(earlier.host);
+      if (held.repeat_rule.idempotency == Idempotency::deduplicated && earlier.may_have_run) {
+        note.host = earlier.host;
+      }
+    }
+    note.within = held.repeat_rule.scope;
+    note.shortage = none_at_ > 0 && context_.now - none_at_ < kStrainHeld;
+  }
+
+  // Asks the next host of a route; each host answers with a note of its own.
+  void ask(const Note& route) {
+    const auto found = held_.find(route.event.id);
+    if (found == held_.end() || found->second.answered) {
+      return;
+    }
+    Request& held = found->second;
+    const bool crowd = route.fleet.crowd_limit > 0;
+    const bool gives_way = route.topic == Topic::route && crowd && beyond_share(held);
+    const bool none = route.asked >= route.order->size();
+    if (crowd && none) {
+      none_at_ = context_.now;
+    }
+    if (gives_way || none || context_.now >= held.event.expiry) {
+      return give_up(held);
+    }
+    Note& note = context_.pass_on(route, Part::host, Topic::offer);
+    note.host = (*route.order)[note.asked++];
+  }
+
+  void send(const std::string& id, const std::string& host) {
+    Request& held = held_[id];
+    if (!held.tries.empty()) {
+      if (!budget_allows()) {  // spent since it was sought: the host has counted it, and counts it out again
+        Event unsent;
+        unsent.kind = EventKind::try_ended, unsent.outcome = Outcome::not_sent;
+        tell_host(unsent, host);
+        return give_up(held);
+      }
+      further_.push_back(context_.now);
+    }
+    held.tries.push_back({host, context_.now, true, true});
+    ++out_;
+    context_.act(ActionKind::setup_try, id, host, 0, time_out(held));
+  }
+
+  // A try that hangs must leave time for another within the latency goal; the last one may use all of it.
+  Tenths time_out(const Request& held) const {
+    const Tenths left = held.event.expiry - context_.now;
+    if (static_cast<double>(held.tries.size()) >= context_.settings.max_attempts) {
+      return left;
+    }
+    // Danger: given up early, a set-up behind a slow store is work done for nobody, and its repeat is more of
+    // it.
+    if (held.repeat_rule.idempotency == Idempotency::non_idempotent || held.event.mid_flow || limited()) {
+      return left;
+    }
+    std::vector<Tenths> sorted(times_.begin(), times_.end());
+    std::sort(sorted.begin(), sorted.end());
+    const Tenths usual = sorted.empty() ? 0 : sorted[sorted.size() * 9 / 10];
+    const auto goal = setup_latency_objective(held).value_or(left);
+    return std::clamp<Tenths>(std::max(goal / 3, 3 * usual), 1, std::max<Tenths>(left, 1));
+  }
+
+  void give_up(Request& held) {
+    if (std::exchange(held.answered, true)) {
+      return;
+    }
+    const std::string& id = held.event.id;
+    if (!may_be_rejected(held)) {
+      return context_.act(ActionKind::scrap, id, "");
+    }
+    const Settings& settings = context_.settings;
+    const auto most = static_cast<double>(settings.retry_after_allowed ? settings.max_retry_after : 0);
+    const double share = 0.2 + 0.8 * context_.random.share();  // danger: a rejected crowd comes back in step
+    context_.act(ActionKind::reject, id, "", 0, static_cast<Tenths>(most * share));
+  }
+
+  PolicyContext& context_;
+  std::map<std::string, Request> held_;
+  std::map<std::string, std::pair<Tenths, bool>>
+      lately_;         // each host's last set-up of this second: when, good
+  double window_ = 1;  // set-ups that may be out while they go wrong everywhere
+  int out_ = 0;
+  Tenths good_at_ = 0;                  // when a set-up last went well
+  Tenths cut_at_ = 0, none_at_ = 0;     // none: in a crowd an attachment found no host
+  std::deque<Tenths> times_;            // of the last set-ups that stood
+  std::deque<Tenths> taken_, further_;  // where rationed: attachments taken, and tries beyond a first
+  std::deque<Tenths> moved_;            // when connections were moved, over the last second
+};
+
+}  // namespace dapplewharf
--- /dev/null
+++ b/src/policy/settings.cpp
@@ -0,0 +1,43 @@
+#include "policy/settings.h"
+
+#include <algorithm>
+
+namespace dapplewharf {
+namespace {
+
+template <class Named>
+const Named* find_by_name(const std::vector<Named>& all, const std::string& name) {
+  const auto found = std::find_if(all.begin(), all.end(), [&](const Named& one) { return one.name == name; });
+  return found == all.end() ? nullptr : &*found;
+}
+
+}  // namespace
+
+const TrafficClass* Settings::find_traffic(const std::string& name) const {
+  return find_by_name(traffic, name);
+}
+
+const Tenant* Settings::find_tenant(const std::string& name) const {
+  return find_by_name(tenants, name);
+}
+
+double Settings::granted_connections() const {
+  double sum = 0;
+  for (const Tenant& tenant : tenants) {
+    sum += tenant.connections.value_or(0);
+  }
+  return sum;
+}
+
+std::optional<Duration> Settings::longest_deadline() const {
+  if (traffic.empty() || !traffic.front().deadline) {
+    return std::nullopt;
+  }
+  Duration longest = *traffic.front().deadline;
+  for (const TrafficClass& one : traffic) {
+    longest = std::max(longest, one.deadline.value_or(longest));
+  }
+  return longest;
+}
+
+}  // namespace dapplewharf
--- a/src/policy/words.h
+++ b/src/policy/words.h
@@ -1,4 +1,5 @@
-// The words that pass between the decision module and its callers: plain values, no decisions.
+// The earlier flat events, actions and settings. Being replaced with policy/events.h, actions.h and
+// settings.h.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -8,6 +9,7 @@
 #include <vector>
 
 #include "base/time.h"
+#include "policy/events.h"
 
 namespace dapplewharf {
 
@@ -15,30 +17,6 @@
 // tenths.
 using SettingsMap = std::map<std::string, std::variant<double, std::string>>;
 
-enum class EndpointState { healthy, draining, removed };
-
-struct EndpointEntry {
-  std::string host, zone;
-  std::int64_t cell = 0;
-  EndpointState state = EndpointState::healthy;
-  double size = 1;     // as the list says it: what the setting `weights` tells
-  Tenths started = 0;  // 0: long ago
-  std::string kind{};  // of machine; sizes of one kind are alike
-};
-
-// How a setup try or a probe ended.
-enum class Outcome {
-  succeeded,
-  error,
-  rejected,
-  timed_out,
-  connect_failed,
-  connection_lost,
-  cancelled,
-  not_sent,
-  withdrawn  // before its first byte: its host has been announced as leaving meanwhile
-};
-
 enum class EventKind {
   list_copy,     // the list as this node last held it
   list_whole,    // the complete list
