--- a/src/node/attempt_result.h
+++ b/src/node/attempt_result.h
@@ -2,7 +2,7 @@
 // from what was seen on the socket to the outcome that the load balancer and the request ledger are given.
 // Design: docs/design.md.
 #pragma once
-#include "policy/words.h"
+#include "policy/events.h"
 
 namespace dapplewharf {
 
@@ -47,6 +47,5 @@
 /// Names for the log, in snake case.
 [[nodiscard]] const char* name_of(AttemptProgress progress);
 [[nodiscard]] const char* name_of(TerminationReason reason);
-[[nodiscard]] const char* name_of(Outcome outcome);
 
 }  // namespace dapplewharf
--- a/src/node/byte_relay.cpp
+++ b/src/node/byte_relay.cpp
@@ -9,9 +9,9 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Tenths kHalfClosedTimeout = 5 * kSecond;  // on a half-closed connection without bytes
-constexpr Tenths kHostClosedTimeout = 800 * kMs;    // for the client to end what its host has ended
-constexpr std::size_t kPartialLineBytes = 32;       // of a host's line: enough to tell what it is
+constexpr Duration kHalfClosedTimeout = 5 * kSecond;  // on a half-closed connection without bytes
+constexpr Duration kHostClosedTimeout = 800 * kMs;    // for the client to end what its host has ended
+constexpr std::size_t kPartialLineBytes = 32;         // of a host's line: enough to tell what it is
 
 // How many of the bytes pending for the client may be sent. Lines longer than the protocol's, and what comes
 // before the host's end, go out without waiting for the end of the line.
@@ -140,7 +140,7 @@
   if (relay.last_line == Word::bye || relay.last_line == Word::move || !relay.request_sent_at) {
     return;
   }
-  const Tenths sent_at = *std::exchange(relay.request_sent_at, std::nullopt);
+  const TimePoint sent_at = *std::exchange(relay.request_sent_at, std::nullopt);
   owner_.on_line_answered(handle, loop_.now() - sent_at);
 }
 
@@ -241,7 +241,7 @@
   if (connection.deadline.number != 0) {
     return;
   }
-  const Tenths timeout = connection.host.read_closed ? kHostClosedTimeout : kHalfClosedTimeout;
+  const Duration timeout = connection.host.read_closed ? kHostClosedTimeout : kHalfClosedTimeout;
   loop_.at(connection.deadline, loop_.now() + timeout, [this, handle] { linger_ended(handle); });
 }
 
--- a/src/node/byte_relay.h
+++ b/src/node/byte_relay.h
@@ -18,7 +18,7 @@
   /// @return the connection, or null when it has ended; valid until the connection ends.
   virtual ProxiedConnection* find(Handle handle) = 0;
   /// The host has answered a client's line after `latency`, in ticks of 0.1 ms.
-  virtual void on_line_answered(Handle handle, Tenths latency) = 0;
+  virtual void on_line_answered(Handle handle, Duration latency) = 0;
   /// The host has reported the connection's load, in microseconds of work a second; below 0 when it gave no
   /// figure.
   virtual void on_load_reported(Handle handle, double load) = 0;
--- a/src/node/client_admission.cpp
+++ b/src/node/client_admission.cpp
@@ -6,9 +6,9 @@
 namespace dapplewharf {
 namespace {
 
-constexpr int kSilentShare = 8;                   // one part in so many of the descriptors
-constexpr Tenths kLineArrivesWithin = 200 * kMs;  // after the connection, from an ordinary client
-constexpr int kPingsPerTurn = 4;                  // more in one turn are a flood
+constexpr int kSilentShare = 8;                     // one part in so many of the descriptors
+constexpr Duration kLineArrivesWithin = 200 * kMs;  // after the connection, from an ordinary client
+constexpr int kPingsPerTurn = 4;                    // more in one turn are a flood
 constexpr std::size_t kClosedIdsKept = 4096;
 
 }  // namespace
@@ -58,7 +58,7 @@
   }
 }
 
-void ClientAdmission::add_silent(Handle client, Tenths now) {
+void ClientAdmission::add_silent(Handle client, TimePoint now) {
   silent_.push_back({client, now});
 }
 
@@ -70,7 +70,7 @@
   return silent_.empty() ? std::nullopt : std::optional(silent_.front().handle);
 }
 
-bool ClientAdmission::silent_clients_exceed_share(Tenths now) const {
+bool ClientAdmission::silent_clients_exceed_share(TimePoint now) const {
   if (silent_.size() < static_cast<std::size_t>(limits_.descriptors / kSilentShare)) {
     return false;
   }
--- a/src/node/client_admission.h
+++ b/src/node/client_admission.h
@@ -37,17 +37,17 @@
   void release(const std::string& id);
 
   /// The client is silent from `now` on: it is new, or has only sent PING.
-  void add_silent(Handle client, Tenths now);
+  void add_silent(Handle client, TimePoint now);
   void remove_silent(Handle client);
   [[nodiscard]] std::optional<Handle> longest_silent() const;
   /// Whether silent clients hold more descriptors than their share. Many ordinary clients that connect at
   /// once are silent until their line has come; they are not counted against one another.
-  [[nodiscard]] bool silent_clients_exceed_share(Tenths now) const;
+  [[nodiscard]] bool silent_clients_exceed_share(TimePoint now) const;
 
  private:
   struct SilentClient {
     Handle handle;
-    Tenths since = 0;
+    TimePoint since = 0;
   };
   [[nodiscard]] bool is_taken(const std::string& id) const;
 
--- a/src/node/connection_table.cpp
+++ b/src/node/connection_table.cpp
@@ -6,21 +6,16 @@
 
 #include <variant>
 
+#include "base/overloaded.h"
+
 namespace dapplewharf {
 namespace {
 
-constexpr Tenths kGreetingTimeout = 2 * kSecond;    // for the request line to come; three seconds are allowed
-constexpr Tenths kPingedTimeout = 60 * kSecond;     // for the next line, from a client that has sent PING
-constexpr Tenths kClosingTimeout = kSecond;         // for the last bytes to be taken
+constexpr Duration kGreetingTimeout = 2 * kSecond;  // for the request line to come; three seconds are allowed
+constexpr Duration kPingedTimeout = 60 * kSecond;   // for the next line, from a client that has sent PING
+constexpr Duration kClosingTimeout = kSecond;       // for the last bytes to be taken
 constexpr std::size_t kDiscardedBytes = 64 * 1024;  // read while closing, so that the client reads why
 
-template <class... Cases>
-struct Overloaded : Cases... {
-  using Cases::operator()...;
-};
-template <class... Cases>
-Overloaded(Cases...) -> Overloaded<Cases...>;
-
 }  // namespace
 
 ConnectionTable::ConnectionTable(EventLoop& loop, Counters& counters, const Limits& limits,
@@ -75,7 +70,8 @@
   }
 }
 
-void ConnectionTable::start_greeting_deadline(Handle handle, ProxiedConnection& connection, Tenths timeout) {
+void ConnectionTable::start_greeting_deadline(Handle handle, ProxiedConnection& connection,
+                                              Duration timeout) {
   loop_.at(connection.deadline, loop_.now() + timeout, [this, handle] {
     ProxiedConnection* late = connections_.find(handle);
     if (late && !late->client_prefix.empty()) {
@@ -208,7 +204,7 @@
   }
 }
 
-void ConnectionTable::shorten_attempts(Tenths deadline) {
+void ConnectionTable::shorten_attempts(TimePoint deadline) {
   connections_.each(
       [&](Handle handle, ProxiedConnection& connection) { attempts_.shorten(handle, connection, deadline); });
 }
@@ -247,7 +243,7 @@
   observer_.on_attempt_ended(handle, result);
 }
 
-void ConnectionTable::on_line_answered(Handle handle, Tenths latency) {
+void ConnectionTable::on_line_answered(Handle handle, Duration latency) {
   observer_.on_line_answered(handle, latency);
 }
 
--- a/src/node/connection_table.h
+++ b/src/node/connection_table.h
@@ -33,7 +33,7 @@
   /// Whether what permitted the attempt still holds, asked just before its first byte is sent.
   [[nodiscard]] virtual bool may_send(Handle handle) = 0;
   /// The host has answered a client's line after `latency`, in ticks of 0.1 ms.
-  virtual void on_line_answered(Handle handle, Tenths latency) = 0;
+  virtual void on_line_answered(Handle handle, Duration latency) = 0;
   /// The host has reported the connection's load, in microseconds of work a second.
   virtual void on_load_reported(Handle handle, double load) = 0;
 };
@@ -56,7 +56,7 @@
   /// Tells the client to reconnect elsewhere, between two lines.
   void migrate(Handle handle);
   /// Attempts in progress last no longer than until `deadline`.
-  void shorten_attempts(Tenths deadline);
+  void shorten_attempts(TimePoint deadline);
 
   [[nodiscard]] std::size_t open() const { return connections_.size(); }
   /// Connections of clients that have sent a request, or begun to.
@@ -85,7 +85,7 @@
   void on_attempt_established(Handle handle, ProxiedConnection& connection,
                               std::size_t answer_bytes) override;
   void on_attempt_ended(Handle handle, AttemptResult result) override;
-  void on_line_answered(Handle handle, Tenths latency) override;
+  void on_line_answered(Handle handle, Duration latency) override;
   void on_load_reported(Handle handle, double load) override;
   void on_host_unreachable(Handle handle, ProxiedConnection& connection) override;
   void on_line_boundary(Handle handle) override { migrate(handle); }
@@ -100,7 +100,7 @@
   void open_request(Handle handle, ProxiedConnection& connection, RequestLine request);
   void on_greeting_closed(Handle handle, ProxiedConnection& connection, bool broken);
   void on_waiting_client_gone(Handle handle, ProxiedConnection& connection, bool broken);
-  void start_greeting_deadline(Handle handle, ProxiedConnection& connection, Tenths timeout);
+  void start_greeting_deadline(Handle handle, ProxiedConnection& connection, Duration timeout);
   void refuse(Handle handle, ProxiedConnection& connection, const std::string& reason);
   void close_after(Handle handle, ProxiedConnection& connection, const std::string& line);
   void send_last_bytes(Handle handle, ProxiedConnection& connection);
--- a/src/node/endpoint_directory.cpp
+++ b/src/node/endpoint_directory.cpp
@@ -113,7 +113,7 @@
   return hosts;
 }
 
-std::map<std::string, Tenths> EndpointDirectory::idle_health_check_times() const {
+std::map<std::string, Duration> EndpointDirectory::idle_health_check_times() const {
   std::vector<double> service_times;
   for (const auto& [host, record] : records_) {
     if (!record.size_in_own_zone || !record.latency) {
@@ -124,10 +124,10 @@
     }
   }
   const double baseline = baseline_service_time(std::move(service_times));
-  std::map<std::string, Tenths> idle_times;
+  std::map<std::string, Duration> idle_times;
   for (const auto& [host, record] : records_) {
     if (record.size_in_own_zone) {
-      idle_times[host] = static_cast<Tenths>(kIdleSpeedSpread * baseline / *record.size_in_own_zone);
+      idle_times[host] = static_cast<Duration>(kIdleSpeedSpread * baseline / *record.size_in_own_zone);
     }
   }
   return idle_times;
--- a/src/node/endpoint_directory.h
+++ b/src/node/endpoint_directory.h
@@ -52,7 +52,7 @@
   [[nodiscard]] std::vector<std::string> measured() const;
   /// The longest that a health check takes at each endpoint of the own zone while it is idle, in ticks of
   /// 0.1 ms; worked out from all of them.
-  [[nodiscard]] std::map<std::string, Tenths> idle_health_check_times() const;
+  [[nodiscard]] std::map<std::string, Duration> idle_health_check_times() const;
   /// The node is in another zone from now on: the next list says which endpoints are there too.
   void leave_zone();
 
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -1,3 +1,4 @@
+// Reading of endpoint lists, and the steps of a call. Design: docs/design.md.
 #include "node/endpoint_discovery.h"
 
 #include <spdlog/spdlog.h>
@@ -6,7 +7,6 @@
 
 #include "config/platform_settings.h"
 #include "policy/backoff.h"
-#include "policy/notes.h"
 #include "wire/http.h"
 
 using nlohmann::json;
@@ -14,23 +14,26 @@
 namespace dapplewharf {
 namespace {
 
-// Protocol page: what a silent watch misses counts as told so long after it fell silent, and what a new place
-// has to tell so long after SIGHUP.
-constexpr Tenths kToldUnheard = Backoff::kToldWithin, kToldAnew = 4 * kSecond;
-// Half of that, so that there is as much again for a silent watch to be opened anew: all nodes' fall silent
-// together, and one service answers them in turn.
-constexpr Tenths kWait = 3 * kSecond;
-constexpr Tenths kPatience = 500 * kMs;       // for an answer, over the wait that was asked for
-constexpr Tenths kLongPatience = 1500 * kMs;  // the same from a service that let a watch hang just before
-constexpr Tenths kPause = 100 * kMs;          // short enough for the watch to go on
-constexpr Tenths kAgain = 200 * kMs;          // at most, between calls while something counts as told soon
+// When what a silent watch has missed counts as notified, after it fell silent; and what a new address has to
+// tell, after SIGHUP.
+constexpr Duration kNotifiedAfterSilence = Backoff::kToldWithin;
+constexpr Duration kNotifiedAfterMove = 4 * kSecond;
+// Half of the first, so that as much again is left to begin a silent watch anew: all nodes' watches fall
+// silent together, and one service answers them in turn.
+constexpr Duration kWatchWait = 3 * kSecond;
+constexpr Duration kWatchTimeout = 500 * kMs;       // for the answer, beyond the wait that was asked for
+constexpr Duration kLateWatchTimeout = 1500 * kMs;  // the same after a watch that hung
+constexpr Duration kRepeatDelay = 100 * kMs;        // short enough for the watch to go on
+constexpr Duration kRetryDelay = 200 * kMs;         // at most, while a missed change counts as notified soon
+constexpr std::size_t kReadBytes = 64 * 1024;
+constexpr int kHttpOk = 200;
 
 EndpointState state_of(const std::string& word) {
   if (word == "up") {
     return EndpointState::healthy;
   }
-  return word == "draining" ? EndpointState::draining
-                            : EndpointState::removed;  // danger: new work on an unknown word
+  // An unknown state gets no new work.
+  return word == "draining" ? EndpointState::draining : EndpointState::removed;
 }
 
 template <class Value>
@@ -44,18 +47,18 @@
 
 }  // namespace
 
-Tenths Incarnations::place(const std::string& host, double unix_ms, Tenths now, Tenths unix_now) {
+TimePoint Incarnations::place(const std::string& host, double unix_ms, TimePoint now, TimePoint unix_now) {
   if (!(unix_ms > 0)) {
     return 0;
   }
-  const auto [at, fresh] = known_.try_emplace(host, -1, 0);
-  if (at->second.first != unix_ms) {
-    at->second = {unix_ms, std::max<Tenths>(tenths_down(unix_ms) + now - unix_now, 1)};
+  Start& start = known_[host];
+  if (start.unix_ms != unix_ms) {
+    start = {unix_ms, std::max<TimePoint>(tenths_down(unix_ms) + now - unix_now, 1)};
   }
-  return at->second.second;
+  return start.at;
 }
 
-EndpointSnapshot list_of(const json& from, Incarnations& starts, Tenths now, Tenths unix_now) {
+EndpointSnapshot list_of(const json& from, Incarnations& starts, TimePoint now, TimePoint unix_now) {
   EndpointSnapshot to;
   to.whole = from.at("reset").get<bool>();
   to.version = from.at("generation").get<std::int64_t>();
@@ -78,190 +81,217 @@
 }
 
 EndpointDiscovery::EndpointDiscovery(EventLoop& loop, Counters& counters, std::string address,
-                                     const Limits& limits, std::uint64_t seed, Heard heard)
+                                     const Limits& limits, std::uint64_t seed, Callbacks callbacks)
     : loop_(loop),
       counters_(counters),
       address_(std::move(address)),
       limits_(limits),
-      heard_(std::move(heard)),
-      chance_(seed) {}
+      callbacks_(std::move(callbacks)),
+      random_(seed) {}
+
+void EndpointDiscovery::set_known_version(std::int64_t version) {
+  version_ = version;
+  needs_complete_list_ = false;
+}
 
 void EndpointDiscovery::watch() {
   watching_ = true;
-  next();
+  call_next();
 }
 
 void EndpointDiscovery::fetch() {
   fetching_ = true;
-  next();
+  call_next();
 }
 
-// Danger: versions are counted by each place for itself. Changes after a version of the old one would leave
-// out a drain, so nothing but a whole list will do until one has come. A call that is out is no loss: the
-// module keeps its list and its weights, and the watch goes on at the new place by itself.
+// Each service counts its versions for itself, so changes since a version of the former one could leave out a
+// drain. The call that is given up is no loss: the load balancer keeps its list, and the watch goes on.
 void EndpointDiscovery::move_to(const std::string& address) {
   if (address == address_) {
     return;
   }
   address_ = address;
-  hang_up();
+  close();
   loop_.cancel(deadline_);
-  out_ = false;
-  anew_ = true;
-  owed_by_ = loop_.now() + kToldAnew;
+  call_in_progress_ = false;
+  needs_complete_list_ = true;
+  notified_by_ = loop_.now() + kNotifiedAfterMove;
   fetch();
 }
 
-void EndpointDiscovery::next() {
-  if (out_) {
+void EndpointDiscovery::call_next() {
+  if (call_in_progress_) {
     return;
   }
-  if (fetching_ || (watching_ && anew_)) {
+  if (fetching_ || (watching_ && needs_complete_list_)) {
     return call("/api/targets", false);
   }
   if (!watching_) {
     return;
   }
-  call("/api/targets?after=" + std::to_string(version_) + "&wait_ms=" + std::to_string(kWait / kMs), true);
+  call("/api/targets?after=" + std::to_string(version_) + "&wait_ms=" + std::to_string(kWatchWait / kMs),
+       true);
 }
 
 void EndpointDiscovery::call(const std::string& target, bool waits) {
-  const Tenths patience = waits ? kWait + (hung_ ? kLongPatience : kPatience) : Backoff::kPatience;
-  out_ = true;
+  const Duration watch_timeout = kWatchWait + (watch_hung_ ? kLateWatchTimeout : kWatchTimeout);
+  const Duration timeout = waits ? watch_timeout : Backoff::kPatience;
+  call_in_progress_ = true;
   ++counters_.endpoint_list_calls;
   spdlog::debug("endpoint_list_called target={}", target);
   request_ = get_request(address_, target);
   called_at_ = loop_.now();
-  stale_ = static_cast<bool>(socket_);
+  reused_ = static_cast<bool>(socket_);
   sent_ = 0;
-  in_.clear();
-  loop_.at(deadline_, loop_.now() + patience, [this, waits] {
+  received_.clear();
+  loop_.at(deadline_, loop_.now() + timeout, [this, waits] {
     if (waits) {
-      owed_by_ = called_at_ + kToldUnheard, hung_ = hung_now_ = true;
+      notified_by_ = called_at_ + kNotifiedAfterSilence;
+      watch_hung_ = true;
+      retry_at_once_ = true;
     }
-    broken(false);
+    on_broken(false);
   });
   if (!socket_) {
-    return dial_out();
+    return connect();
   }
   loop_.want(watched_, POLLIN | POLLOUT);
-  ready();
+  on_ready();
 }
 
-void EndpointDiscovery::dial_out() {
-  const auto at = address_of(address_);
+void EndpointDiscovery::connect() {
+  const auto address = address_of(address_);
   connected_ = false;
   sent_ = 0;
-  in_.clear();
-  if (!at || dial(*at, limits_.descriptors, kLastOnes, socket_) != Dial::begun) {
-    // Told in a turn of its own: the caller may be amid its own work.
-    return loop_.at(deadline_, loop_.now(), [this] { broken(false); });
+  received_.clear();
+  if (!address || dial(*address, limits_.descriptors, kLastOnes, socket_) != Dial::begun) {
+    // Reported in a turn of its own: the caller may be amid its own work.
+    return loop_.at(deadline_, loop_.now(), [this] { on_broken(false); });
   }
-  watched_ = loop_.watch(socket_.number(), POLLOUT, [this](short) { ready(); });
+  watched_ = loop_.watch(socket_.number(), POLLOUT, [this](short) { on_ready(); });
 }
 
-void EndpointDiscovery::ready() {
+void EndpointDiscovery::on_ready() {
   if (!connected_) {
     if (!socket_.connected()) {
-      return broken(false);
+      return on_broken(false);
     }
     connected_ = true;
   }
-  if (out_ && sent_ < request_.size()) {
-    const auto given = socket_.send(request_.data() + sent_, request_.size() - sent_);
-    if (!given) {
-      return broken(stale_);
-    }
-    sent_ += *given;
+  if (!send_request()) {
+    return on_broken(reused_);
+  }
+  const bool sending = call_in_progress_ && sent_ < request_.size();
+  loop_.want(watched_, sending ? POLLIN | POLLOUT : POLLIN);
+  receive_answer();
+}
+
+// Returns false when the connection is broken.
+bool EndpointDiscovery::send_request() {
+  if (!call_in_progress_ || sent_ >= request_.size()) {
+    return true;
   }
-  loop_.want(watched_, sent_ < request_.size() && out_ ? POLLIN | POLLOUT : POLLIN);
-  bool ended = false;
-  const auto got = socket_.receive(in_, 64 * 1024, ended);
-  if (!got) {
-    return broken(stale_ && in_.empty());
+  const auto sent = socket_.send(request_.data() + sent_, request_.size() - sent_);
+  sent_ += sent.value_or(0);
+  return sent.has_value();
+}
+
+void EndpointDiscovery::receive_answer() {
+  bool closed = false;
+  const auto received = socket_.receive(received_, kReadBytes, closed);
+  if (!received) {
+    return on_broken(reused_ && received_.empty());
   }
-  if (!out_) {
-    return ended || *got > 0 ? hang_up() : void();  // nothing was asked for
+  if (!call_in_progress_) {
+    if (closed || *received > 0) {
+      close();  // nothing was asked for
+    }
+    return;
   }
-  if (ended && in_.empty()) {
-    return broken(stale_);
+  if (closed && received_.empty()) {
+    return on_broken(reused_);
   }
-  if (*got == 0 && !ended) {
+  if (*received == 0 && !closed) {
     return;
   }
-  const Answer answer = answer_of(in_, ended, limits_.list_bytes);
+  const Answer answer = answer_of(received_, closed, limits_.list_bytes);
   if (answer.state == Answer::State::more) {
     return;
   }
-  if (answer.state == Answer::State::bad || answer.status != 200) {
+  if (answer.state == Answer::State::bad || answer.status != kHttpOk) {
     spdlog::warn("endpoint_list_refused http={} status={}", answer.state != Answer::State::bad,
                  answer.status);
-    return broken(false);
+    return on_broken(false);
   }
-  answered(answer.body, answer.closes || ended);
+  on_answer(answer.body, answer.closes || closed);
 }
 
-void EndpointDiscovery::answered(const std::string& body, bool closes) {
+void EndpointDiscovery::on_answer(const std::string& body, bool closes) {
   EndpointSnapshot list;
   try {
-    list = list_of(json::parse(body), starts, loop_.now(), EventLoop::unix_now());
-  } catch (const std::exception& error) {  // danger: a list that is half garbage; the last good one is kept
+    list = list_of(json::parse(body), incarnations_, loop_.now(), EventLoop::unix_now());
+  } catch (const std::exception& error) {  // the last good list stays in force
     spdlog::warn("endpoint_list_unusable error=\"{}\"", error.what());
-    return broken(false);
+    return on_broken(false);
   }
-  out_ = false;
+  call_in_progress_ = false;
   loop_.cancel(deadline_);
   if (closes) {
-    hang_up();
+    close();
   }
   spdlog::debug("endpoint_list_received version={} endpoints={} duration_ms={}", list.version,
                 list.listings.size(), (loop_.now() - called_at_) / kMs);
-  const bool news = list.version != version_;
-  // Danger: a service that counts anew tells changes since its own beginning only; what came before is
-  // missed.
+  on_list(list);
+}
+
+void EndpointDiscovery::on_list(const EndpointSnapshot& list) {
+  const bool has_news = list.version != version_;
+  // A service that began to count anew sends changes since its own beginning only; earlier ones are missed.
   if (!list.whole && list.version < version_) {
-    anew_ = true;
+    needs_complete_list_ = true;
   }
   version_ = list.version;
   if (list.whole) {
-    fetching_ = anew_ = false;
+    fetching_ = false;
+    needs_complete_list_ = false;
   }
-  owed_by_ = 0, hung_ = false;
+  notified_by_.reset();
+  watch_hung_ = false;
   ++counters_.endpoint_lists;
-  // Danger: a service that answers without waiting would be asked without end.
-  if (!news && loop_.now() - called_at_ < kPause) {
-    loop_.at(deadline_, loop_.now() + kPause, [this] { next(); });
+  // A service that answers without waiting would be called without end.
+  if (!has_news && loop_.now() - called_at_ < kRepeatDelay) {
+    loop_.at(deadline_, loop_.now() + kRepeatDelay, [this] { call_next(); });
   } else {
-    next();  // first: a watch goes on only if its next call comes soon
+    call_next();  // first: a watch goes on only if its next call comes soon
   }
-  heard_.listed(list);
+  callbacks_.listed(list);
 }
 
-void EndpointDiscovery::broken(bool may_be_stale) {
+void EndpointDiscovery::on_broken(bool may_be_stale) {
   if (may_be_stale) {  // a kept connection was closed meanwhile: once more, on a new one
-    hang_up();
-    stale_ = false;
-    return dial_out();
+    close();
+    reused_ = false;
+    return connect();
   }
   spdlog::warn("endpoint_list_call_lost duration_ms={}", (loop_.now() - called_at_) / kMs);
-  hang_up();
+  close();
   loop_.cancel(deadline_);
-  out_ = false;
+  call_in_progress_ = false;
   ++counters_.endpoint_list_calls_lost;
-  // Danger: what a silent watch or a place left behind has missed counts as told soon, and a host that drains
-  // is still sent to. Until then it is asked for again and again, at once where a watch hung; only then it is
-  // a loss, with growing waits. With chance: all nodes' watches fall silent together.
-  if (loop_.now() < owed_by_) {
-    const bool at_once = std::exchange(hung_now_, false);
-    const auto pause = static_cast<Tenths>(kAgain * (0.5 + chance_.share() / 2));
-    return loop_.at(deadline_, loop_.now() + (at_once ? 0 : pause), [this] { next(); });
+  // Until a missed change counts as notified the call is repeated, at once where a watch hung: an endpoint
+  // that drains would be sent to meanwhile. All nodes' watches fall silent together, hence the random part.
+  if (notified_by_ && loop_.now() < *notified_by_) {
+    const bool at_once = std::exchange(retry_at_once_, false);
+    const auto delay = static_cast<Duration>(kRetryDelay * (0.5 + random_.share() / 2));
+    return loop_.at(deadline_, loop_.now() + (at_once ? 0 : delay), [this] { call_next(); });
   }
-  owed_by_ = 0;
-  watching_ = fetching_ = false;
-  heard_.lost();
+  notified_by_.reset();
+  watching_ = false;
+  fetching_ = false;
+  callbacks_.lost();
 }
 
-void EndpointDiscovery::hang_up() {
+void EndpointDiscovery::close() {
   loop_.unwatch(watched_);
   socket_.close();
   connected_ = false;
--- a/src/node/event_queue.h
+++ b/src/node/event_queue.h
@@ -1,30 +1,22 @@
 // Events on their way to the load balancer. Owns those that have not been handed over yet, in their order.
 // Design: docs/design.md.
 #pragma once
-#include <string>
 #include <utility>
 #include <vector>
 
-#include "policy/words.h"
+#include "policy/events.h"
 
 namespace dapplewharf {
 
 class EventQueue {
  public:
-  /// Adds an event; the reference is valid until the next call.
-  Event& add(EventKind kind, const std::string& id = "", const std::string& host = "") {
-    Event& event = events_.emplace_back();
-    event.kind = kind;
-    event.id = id;
-    event.host = host;
-    return event;
-  }
+  void add(PolicyEvent event) { events_.push_back(std::move(event)); }
   [[nodiscard]] bool empty() const { return events_.empty(); }
   /// Takes all events out, the oldest first.
-  [[nodiscard]] std::vector<Event> take() { return std::exchange(events_, {}); }
+  [[nodiscard]] std::vector<PolicyEvent> take() { return std::exchange(events_, {}); }
 
  private:
-  std::vector<Event> events_;
+  std::vector<PolicyEvent> events_;
 };
 
 }  // namespace dapplewharf
--- a/src/node/gossip_socket.cpp
+++ b/src/node/gossip_socket.cpp
@@ -1,3 +1,4 @@
+// Sending and reading of gossip messages. Design: docs/design.md.
 #include "node/gossip_socket.h"
 
 #include <poll.h>
@@ -7,9 +8,10 @@
 namespace dapplewharf {
 namespace {
 
-constexpr std::size_t kLongestWord = 256;
-constexpr Tenths kOpenEvery = kSecond;  // while the address cannot be listened at
-constexpr int kAtOnce = 64;             // words read in one turn: a flood waits, and is dropped by the system
+constexpr std::size_t kLongestMessage = 256;
+constexpr Duration kOpenInterval = kSecond;  // while the address cannot be listened at
+constexpr int kMessagesPerTurn = 64;         // the system drops what a flood brings beyond its buffer
+constexpr int kNoPeer = -1;
 
 bool same(const sockaddr_in& a, const sockaddr_in& b) {
   return a.sin_addr.s_addr == b.sin_addr.s_addr && a.sin_port == b.sin_port;
@@ -19,7 +21,7 @@
 
 GossipSocket::GossipSocket(EventLoop& loop, Counters& counters, const PeerSettings& settings,
                            std::uint64_t seed)
-    : loop_(loop), counters_(counters), tally_(static_cast<int>(settings.peers.size()), settings.me, seed) {
+    : loop_(loop), counters_(counters), loads_(static_cast<int>(settings.peers.size()), settings.me, seed) {
   const auto at = address_of(settings.listen);
   if (!at || settings.peers.size() < 2) {
     return;
@@ -31,13 +33,13 @@
   open();
 }
 
-// Danger: a system that is short of something for a moment would leave this node alone for good.
+// Tried again later when it fails: a passing shortage would otherwise leave this node alone for good.
 void GossipSocket::open() {
   opened_at_ = loop_.now();
   Socket socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket || bind(socket.number(), reinterpret_cast<const sockaddr*>(&*listen_), sizeof *listen_) != 0) {
     const int error = errno;
-    if (!std::exchange(told_, true)) {
+    if (!std::exchange(failure_logged_, true)) {
       spdlog::warn("gossip_unavailable error={}", error);
     }
     return;
@@ -47,45 +49,52 @@
 }
 
 void GossipSocket::tell(const PeerLoadTable::Counts& counts) {
-  if (!socket_ && listen_ && loop_.now() - opened_at_ >= kOpenEvery) {
+  if (!socket_ && listen_ && loop_.now() - opened_at_ >= kOpenInterval) {
     open();
   }
   if (!socket_) {
     return;
   }
-  const std::vector<int> others = tally_.tell_to(loop_.now(), counts);
-  if (others.empty()) {
-    return;
+  if (const std::vector<int> peers = loads_.tell_to(loop_.now(), counts); !peers.empty()) {
+    send(counts, peers);
   }
-  const std::string word = PeerLoadTable::word(counts, EventLoop::unix_now());
-  for (const int other : others) {
-    const sockaddr_in& to = addresses_[static_cast<std::size_t>(other)];
-    // A word that the system does not take is lost like one on the way: the next one tells it all anew.
-    if (sendto(socket_.number(), word.data(), word.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
+}
+
+void GossipSocket::send(const PeerLoadTable::Counts& counts, const std::vector<int>& peers) {
+  const std::string message = PeerLoadTable::word(counts, EventLoop::unix_now());
+  for (const int peer : peers) {
+    const sockaddr_in& to = addresses_[static_cast<std::size_t>(peer)];
+    // A message that the system does not take is lost like one on the way: the next one carries it all.
+    if (sendto(socket_.number(), message.data(), message.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
                reinterpret_cast<const sockaddr*>(&to), sizeof to) >= 0) {
       ++counters_.gossip_sent;
     }
   }
 }
 
+int GossipSocket::peer_at(const sockaddr_in& address) const {
+  int found = kNoPeer;
+  for (std::size_t peer = 0; peer < addresses_.size(); ++peer) {
+    if (same(addresses_[peer], address)) {
+      found = static_cast<int>(peer);
+    }
+  }
+  return found;
+}
+
 void GossipSocket::read() {
-  char bytes[kLongestWord];
-  for (int i = 0; i < kAtOnce; ++i) {
+  char bytes[kLongestMessage];
+  for (int i = 0; i < kMessagesPerTurn; ++i) {
     sockaddr_in from{};
-    socklen_t size = sizeof from;
-    const ssize_t got = recvfrom(socket_.number(), bytes, sizeof bytes, MSG_DONTWAIT | MSG_TRUNC,
-                                 reinterpret_cast<sockaddr*>(&from), &size);
-    if (got < 0) {
+    socklen_t from_size = sizeof from;
+    const ssize_t size = recvfrom(socket_.number(), bytes, sizeof bytes, MSG_DONTWAIT | MSG_TRUNC,
+                                  reinterpret_cast<sockaddr*>(&from), &from_size);
+    if (size < 0) {
       return;
     }
-    int sender = -1;
-    for (std::size_t k = 0; k < addresses_.size(); ++k) {
-      if (same(addresses_[k], from)) {
-        sender = static_cast<int>(k);
-      }
-    }
-    const bool whole = got <= static_cast<ssize_t>(sizeof bytes);
-    if (whole && tally_.hear(sender, {bytes, static_cast<std::size_t>(got)}, EventLoop::unix_now())) {
+    const bool complete = size <= static_cast<ssize_t>(sizeof bytes);
+    if (complete &&
+        loads_.hear(peer_at(from), {bytes, static_cast<std::size_t>(size)}, EventLoop::unix_now())) {
       ++counters_.gossip_received;
     } else {
       ++counters_.gossip_ignored;
@@ -94,7 +103,7 @@
 }
 
 std::optional<double> GossipSocket::elsewhere(const std::string& host) const {
-  return socket_ ? tally_.elsewhere(host, EventLoop::unix_now()) : std::nullopt;
+  return socket_ ? loads_.elsewhere(host, EventLoop::unix_now()) : std::nullopt;
 }
 
 }  // namespace dapplewharf
--- a/src/node/health_checker.cpp
+++ b/src/node/health_checker.cpp
@@ -1,139 +1,182 @@
+// The steps of a health check: connect where needed, send PING, read the answer. Design: docs/design.md.
 #include "node/health_checker.h"
 
-#include "policy/notes.h"
+#include <utility>
+
 #include "wire/lines.h"
 
 namespace dapplewharf {
 namespace {
 
 const std::string kPing = "PING\r\n";
-constexpr Tenths kProbeSlack = 50 * kMs;  // over the time to connect, for a probe's answer
+constexpr Duration kAnswerTime = 50 * kMs;  // for the answer, beyond the time to connect
+
+TerminationReason reason_of(Dial dialled) {
+  switch (dialled) {
+    case Dial::no_descriptor:
+      return TerminationReason::no_descriptor;
+    case Dial::local_failure:
+      return TerminationReason::local_failure;
+    case Dial::refused:
+    case Dial::begun:
+      break;
+  }
+  return TerminationReason::connection_broken;
+}
+
+TerminationReason reason_of(Word answer) {
+  if (answer == Word::pong) {
+    return TerminationReason::completed;
+  }
+  if (answer == Word::error) {
+    return TerminationReason::error;
+  }
+  return answer == Word::busy ? TerminationReason::busy : TerminationReason::malformed_answer;
+}
+
+bool keeps_connection(TerminationReason reason) {
+  return reason == TerminationReason::completed || reason == TerminationReason::error;
+}
 
 }  // namespace
 
-HealthChecker::HealthChecker(EventLoop& loop, Counters& counters, const Limits& limits, Told told)
-    : loop_(loop), counters_(counters), limits_(limits), told_(std::move(told)) {}
+HealthChecker::HealthChecker(EventLoop& loop, Counters& counters, const Limits& limits, OnEnded on_ended)
+    : loop_(loop), counters_(counters), limits_(limits), on_ended_(std::move(on_ended)) {}
 
-void HealthChecker::probe(const std::string& host, const std::string& address) {
-  Line& line = lines_[host];
-  if (line.out) {
+void HealthChecker::check(const std::string& host, const std::string& address) {
+  Probe& probe = probes_[host];
+  if (probe.in_progress) {
     return;
   }
   ++counters_.health_checks;
-  line.out = true;
-  line.since = loop_.now();
-  line.sent = 0;
-  line.in.clear();
-  loop_.at(line.deadline, loop_.now() + limits_.connect_time + kProbeSlack, [this, host] {
-    const auto found = lines_.find(host);
-    if (found != lines_.end()) {
-      over(host, found->second, TerminationReason::timed_out, false);
+  probe.in_progress = true;
+  probe.began_at = loop_.now();
+  probe.sent = 0;
+  probe.received.clear();
+  loop_.at(probe.deadline, loop_.now() + limits_.connect_time + kAnswerTime, [this, host] {
+    const auto found = probes_.find(host);
+    if (found != probes_.end()) {
+      end(host, found->second, TerminationReason::timed_out);
     }
   });
-  if (line.address != address) {  // it moved
-    loop_.unwatch(line.watched);
-    line.socket.close();
-    line.address = address;
+  if (probe.address != address) {  // the host has another address now
+    loop_.unwatch(probe.watched);
+    probe.socket.close();
+    probe.address = address;
   }
-  line.stale = static_cast<bool>(line.socket);
-  if (!line.socket) {
-    return dial_out(host, line);
+  probe.reused = static_cast<bool>(probe.socket);
+  if (!probe.socket) {
+    return connect(host, probe);
   }
-  loop_.want(line.watched, POLLIN | POLLOUT);
+  loop_.want(probe.watched, POLLIN | POLLOUT);
 }
 
-// Danger: connections kept to machines that are gone without a word would add up.
+// Connections kept to machines that are gone without a word would add up.
 void HealthChecker::forget(const std::string& host) {
-  const auto found = lines_.find(host);
-  if (found == lines_.end()) {
+  const auto found = probes_.find(host);
+  if (found == probes_.end()) {
     return;
   }
-  over(host, found->second, TerminationReason::cancelled, false);
-  lines_.erase(host);
+  end(host, found->second, TerminationReason::cancelled);
+  probes_.erase(host);
 }
 
-void HealthChecker::dial_out(const std::string& host, Line& line) {
-  line.reach = AttemptProgress::not_connected;
-  line.stale = false;
-  line.sent = 0;
-  const auto to = address_of(line.address);
-  const Dial dialled = to ? dial(*to, limits_.descriptors, kProbesLeave, line.socket) : Dial::refused;
+void HealthChecker::connect(const std::string& host, Probe& probe) {
+  probe.progress = AttemptProgress::not_connected;
+  probe.reused = false;
+  probe.sent = 0;
+  const auto address = address_of(probe.address);
+  const Dial dialled =
+      address ? dial(*address, limits_.descriptors, kProbesLeave, probe.socket) : Dial::refused;
   if (dialled != Dial::begun) {
-    return over(host, line,
-                dialled == Dial::refused         ? TerminationReason::connection_broken
-                : dialled == Dial::no_descriptor ? TerminationReason::no_descriptor
-                                                 : TerminationReason::local_failure,
-                false);
+    return end(host, probe, reason_of(dialled));
   }
-  line.watched = loop_.watch(line.socket.number(), POLLOUT, [this, host](short) { ready(host); });
+  probe.watched = loop_.watch(probe.socket.number(), POLLOUT, [this, host](short) { on_ready(host); });
 }
 
-void HealthChecker::ready(const std::string& host) {
-  const auto found = lines_.find(host);
-  if (found == lines_.end() || !found->second.socket) {
+void HealthChecker::on_ready(const std::string& host) {
+  const auto found = probes_.find(host);
+  if (found == probes_.end() || !found->second.socket) {
     return;
   }
-  Line& line = found->second;
-  if (line.reach == AttemptProgress::not_connected) {
-    if (!line.socket.connected()) {
-      return over(host, line, TerminationReason::connection_broken, false);
-    }
-    line.reach = AttemptProgress::partly_written;
-  }
-  bool ended = false;
-  auto got = line.socket.receive(line.in, kLongestLine, ended);
-  if (line.out && line.sent < kPing.size() && got && !ended) {
-    const auto given = line.socket.send(kPing.data() + line.sent, kPing.size() - line.sent);
-    if (given) {
-      line.sent += *given;
-    } else {
-      got = std::nullopt;
-    }
-    if (line.sent == kPing.size()) {
-      line.reach = AttemptProgress::written, line.written = loop_.now();
+  Probe& probe = found->second;
+  if (probe.progress == AttemptProgress::not_connected) {
+    if (!probe.socket.connected()) {
+      return end(host, probe, TerminationReason::connection_broken);
     }
+    probe.progress = AttemptProgress::partly_written;
   }
-  if (!got || ended) {
-    if (line.out && line.stale && line.in.empty()) {  // a kept connection had ended meanwhile
-      loop_.unwatch(line.watched);
-      line.socket.close();
-      return dial_out(host, line);
-    }
-    return over(host, line, ended ? TerminationReason::closed : TerminationReason::connection_broken, false);
+  bool closed = false;
+  const auto received = probe.socket.receive(probe.received, kLongestLine, closed);
+  if (!received || closed || !send_ping(probe)) {
+    return on_connection_ended(host, probe, closed);
   }
-  loop_.want(line.watched, line.out && line.sent < kPing.size() ? POLLIN | POLLOUT : POLLIN);
-  const std::size_t end = line.in.find('\n');
-  if (end == std::string::npos) {
-    if (line.in.size() > kLongestLine) {
-      over(host, line, TerminationReason::malformed_answer, false);
+  const bool sending = probe.in_progress && probe.sent < kPing.size();
+  loop_.want(probe.watched, sending ? POLLIN | POLLOUT : POLLIN);
+  read_answer(host, probe);
+}
+
+// Returns false when the connection is broken.
+bool HealthChecker::send_ping(Probe& probe) {
+  if (!probe.in_progress || probe.sent == kPing.size()) {
+    return true;
+  }
+  const auto sent = probe.socket.send(kPing.data() + probe.sent, kPing.size() - probe.sent);
+  if (!sent) {
+    return false;
+  }
+  probe.sent += *sent;
+  if (probe.sent == kPing.size()) {
+    probe.progress = AttemptProgress::written;
+    probe.written_at = loop_.now();
+  }
+  return true;
+}
+
+void HealthChecker::on_connection_ended(const std::string& host, Probe& probe, bool closed) {
+  if (probe.in_progress && probe.reused && probe.received.empty()) {  // a kept connection had ended meanwhile
+    loop_.unwatch(probe.watched);
+    probe.socket.close();
+    return connect(host, probe);
+  }
+  end(host, probe, closed ? TerminationReason::closed : TerminationReason::connection_broken);
+}
+
+void HealthChecker::read_answer(const std::string& host, Probe& probe) {
+  const std::size_t line_end = probe.received.find('\n');
+  if (line_end == std::string::npos) {
+    if (probe.received.size() > kLongestLine) {
+      end(host, probe, TerminationReason::malformed_answer);
     }
     return;
   }
-  const Word word = word_of(std::string_view(line.in).substr(0, end + 1));
-  line.in.erase(0, end + 1);
-  const TerminationReason cause = word == Word::pong    ? TerminationReason::completed
-                                  : word == Word::error ? TerminationReason::error
-                                  : word == Word::busy  ? TerminationReason::busy
-                                                        : TerminationReason::malformed_answer;
-  over(host, line, cause, cause == TerminationReason::completed || cause == TerminationReason::error);
+  const Word answer = word_of(std::string_view(probe.received).substr(0, line_end + 1));
+  probe.received.erase(0, line_end + 1);
+  end(host, probe, reason_of(answer));
 }
 
-void HealthChecker::over(const std::string& host, Line& line, TerminationReason cause, bool keep) {
-  Probed probed{{line.reach, cause}, loop_.now() - line.since, 0};
-  // Danger: an error comes at once, whatever waits there; as the least time it makes a sound host look slow.
-  if (cause == TerminationReason::completed) {
-    probed.answer_after = loop_.now() - line.written;
+void HealthChecker::end(const std::string& host, Probe& probe, TerminationReason reason) {
+  HealthCheckResult result{.result = {.progress = probe.progress, .reason = reason},
+                           .duration = loop_.now() - probe.began_at,
+                           .latency = 0};
+  // An error comes at once, however long the host's queue is, so it says nothing of the latency.
+  if (reason == TerminationReason::completed) {
+    result.latency = loop_.now() - probe.written_at;
   }
-  const bool told = std::exchange(line.out, false);
-  loop_.cancel(line.deadline);
-  if (!keep) {
-    loop_.unwatch(line.watched);
-    line.socket.close();
-    line.reach = AttemptProgress::not_connected;
+  const bool was_in_progress = std::exchange(probe.in_progress, false);
+  loop_.cancel(probe.deadline);
+  if (!keeps_connection(reason)) {
+    close(probe);
   }
-  if (told) {
-    told_(host, probed);
+  if (was_in_progress) {
+    on_ended_(host, result);
   }
 }
 
+void HealthChecker::close(Probe& probe) {
+  loop_.unwatch(probe.watched);
+  probe.socket.close();
+  probe.progress = AttemptProgress::not_connected;
+}
+
 }  // namespace dapplewharf
--- a/src/node/health_checker.h
+++ b/src/node/health_checker.h
@@ -1,5 +1,5 @@
-// HealthChecker: PING to a host on a connection kept for it, opened when there is none. Owns those
-// connections; tells how each probe ended and never decides when to probe.
+// Health checks: PING to a host on a connection that is kept for them, opened when there is none. Owns those
+// connections; reports how each check ended and never decides when to check. Design: docs/design.md.
 #pragma once
 #include <functional>
 #include <map>
@@ -12,40 +12,51 @@
 
 namespace dapplewharf {
 
+/// How a health check ended. Spans are in ticks of 0.1 ms.
+struct HealthCheckResult {
+  AttemptResult result;  ///< `completed`: answered well
+  Duration duration = 0;
+  Duration latency = 0;  ///< from the last byte of PING to PONG; 0 where no PONG came
+};
+
 class HealthChecker {
  public:
-  struct Probed {
-    AttemptResult end;        // bye: answered well
-    Tenths took = 0;          // in all
-    Tenths answer_after = 0;  // from when its last byte was written; 0 where no answer came
-  };
-  using Told = std::function<void(const std::string& host, const Probed& probed)>;
-  HealthChecker(EventLoop& loop, Counters& counters, const Limits& limits, Told told);
+  using OnEnded = std::function<void(const std::string& host, const HealthCheckResult& result)>;
+  /// @param on_ended is told of each health check once.
+  HealthChecker(EventLoop& loop, Counters& counters, const Limits& limits, OnEnded on_ended);
 
-  void probe(const std::string& host, const std::string& address);
-  void forget(const std::string& host);  // ends what is out, and its connection
+  /// Begins a health check, unless one of this host is in progress. @param address "a.b.c.d:port".
+  void check(const std::string& host, const std::string& address);
+  /// Cancels the health check in progress and closes the host's connection.
+  void forget(const std::string& host);
 
  private:
-  struct Line {
+  struct Probe {
     std::string address;
     Socket socket;
     Handle watched;
     EventLoop::Deadline deadline;
-    AttemptProgress reach = AttemptProgress::not_connected;
-    bool out = false, stale = false;
-    Tenths since = 0, written = 0;
-    std::string in;
+    AttemptProgress progress = AttemptProgress::not_connected;
+    bool in_progress = false;
+    bool reused = false;  // the connection served an earlier check and may have been closed meanwhile
+    TimePoint began_at = 0;
+    TimePoint written_at = 0;
+    std::string received;
     std::size_t sent = 0;
   };
-  void dial_out(const std::string& host, Line& line);
-  void ready(const std::string& host);
-  void over(const std::string& host, Line& line, TerminationReason cause, bool keep);
+  void connect(const std::string& host, Probe& probe);
+  void on_ready(const std::string& host);
+  bool send_ping(Probe& probe);
+  void on_connection_ended(const std::string& host, Probe& probe, bool closed);
+  void read_answer(const std::string& host, Probe& probe);
+  void end(const std::string& host, Probe& probe, TerminationReason reason);
+  void close(Probe& probe);
 
   EventLoop& loop_;
   Counters& counters_;
   const Limits& limits_;
-  Told told_;
-  std::map<std::string, Line> lines_;
+  OnEnded on_ended_;
+  std::map<std::string, Probe> probes_;
 };
 
 }  // namespace dapplewharf
--- a/src/node/latency_estimator.cpp
+++ b/src/node/latency_estimator.cpp
@@ -7,27 +7,27 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Tenths kLineWindow = 2 * kSecond;  // as often as clients send a line
-constexpr Tenths kReportInterval = kSecond;
-constexpr Tenths kHealthCheckValidity = 5 * kSecond;
-constexpr Tenths kShortestWindow = 120 * kSecond;  // for the round trip and the idle service time
-constexpr double kServiceShare = 1.0 / 5;          // of an objective: what a message takes at an idle host
-constexpr Tenths kNoise = 15;  // a health check's excess over the shortest that says nothing
+constexpr Duration kLineWindow = 2 * kSecond;  // as often as clients send a line
+constexpr Duration kReportInterval = kSecond;
+constexpr Duration kHealthCheckValidity = 5 * kSecond;
+constexpr Duration kShortestWindow = 120 * kSecond;  // for the round trip and the idle service time
+constexpr double kServiceShare = 1.0 / 5;            // of an objective: what a message takes at an idle host
+constexpr Duration kNoise = 15;  // a health check's excess over the shortest that says nothing
 
 }  // namespace
 
-void LatencyEstimator::record_line(Tenths now, Tenths latency) {
+void LatencyEstimator::record_line(TimePoint now, Duration latency) {
   lines_.push_back({now, latency});
 }
 
-void LatencyEstimator::record_health_check(Tenths now, Tenths latency) {
+void LatencyEstimator::record_health_check(TimePoint now, Duration latency) {
   health_checks_.push_back({now, latency});
   while (now - health_checks_.front().at >= kShortestWindow) {
     health_checks_.pop_front();
   }
 }
 
-std::optional<Tenths> LatencyEstimator::shortest_health_check() const {
+std::optional<Duration> LatencyEstimator::shortest_health_check() const {
   if (health_checks_.empty()) {
     return std::nullopt;
   }
@@ -35,11 +35,11 @@
   return std::min_element(health_checks_.begin(), health_checks_.end(), shorter)->latency;
 }
 
-std::optional<Tenths> LatencyEstimator::report(Tenths now, Tenths objective,
-                                               const std::vector<Tenths>& unanswered, Tenths baseline) {
-  const Tenths limit = objective / 3;
+std::optional<Duration> LatencyEstimator::report(TimePoint now, Duration objective,
+                                                 const std::vector<Duration>& unanswered, Duration baseline) {
+  const Duration limit = objective / 3;
   expire_lines(now);
-  std::optional<Tenths> estimate = median_line_latency(limit, unanswered);
+  std::optional<Duration> estimate = median_line_latency(limit, unanswered);
   if (const auto waited = health_check_latency(now, objective, baseline)) {
     estimate = std::max(estimate.value_or(0), *waited);
   }
@@ -56,16 +56,16 @@
   return estimate;
 }
 
-void LatencyEstimator::expire_lines(Tenths now) {
+void LatencyEstimator::expire_lines(TimePoint now) {
   while (!lines_.empty() && now - lines_.front().at >= kLineWindow) {
     lines_.pop_front();
   }
 }
 
-std::optional<Tenths> LatencyEstimator::median_line_latency(Tenths limit,
-                                                            const std::vector<Tenths>& unanswered) const {
-  std::vector<Tenths> latencies;
-  for (const Tenths age : unanswered) {
+std::optional<Duration> LatencyEstimator::median_line_latency(Duration limit,
+                                                              const std::vector<Duration>& unanswered) const {
+  std::vector<Duration> latencies;
+  for (const Duration age : unanswered) {
     if (age > limit) {
       latencies.push_back(age);  // younger ones say nothing yet
     }
@@ -81,23 +81,23 @@
   return *middle;
 }
 
-std::optional<Tenths> LatencyEstimator::health_check_latency(Tenths now, Tenths objective,
-                                                             Tenths baseline) const {
+std::optional<Duration> LatencyEstimator::health_check_latency(TimePoint now, Duration objective,
+                                                               Duration baseline) const {
   if (health_checks_.empty() || now - health_checks_.back().at >= kHealthCheckValidity) {
     return std::nullopt;
   }
   // Without the other hosts' baseline, a host that has been slow ever since this node started seems idle. One
   // health check alone may have been delayed by the setups of a start.
-  const Tenths own = std::max<Tenths>(*shortest_health_check(), 1);
-  const Tenths idle = baseline > 0 && health_checks_.size() > 1 ? std::min(own, baseline) : own;
-  const Tenths last = health_checks_.back().latency;
-  const Tenths waited = last - idle;
+  const Duration own = std::max<Duration>(*shortest_health_check(), 1);
+  const Duration idle = baseline > 0 && health_checks_.size() > 1 ? std::min(own, baseline) : own;
+  const Duration last = health_checks_.back().latency;
+  const Duration waited = last - idle;
   if (waited <= kNoise) {
     return waited;
   }
   // A message's own service time grows as the health check's has; the rest of that time it waits as well.
-  const auto stretched =
-      static_cast<Tenths>(kServiceShare * static_cast<double>(objective * last) / static_cast<double>(idle));
+  const auto stretched = static_cast<Duration>(kServiceShare * static_cast<double>(objective * last) /
+                                               static_cast<double>(idle));
   return std::max(waited, stretched);
 }
 
--- a/src/node/latency_estimator.h
+++ b/src/node/latency_estimator.h
@@ -14,11 +14,11 @@
 class LatencyEstimator {
  public:
   /// Records a client's line that the host answered after `latency`.
-  void record_line(Tenths now, Tenths latency);
+  void record_line(TimePoint now, Duration latency);
   /// Records a health check that the host answered after `latency`.
-  void record_health_check(Tenths now, Tenths latency);
+  void record_health_check(TimePoint now, Duration latency);
   /// The shortest recent health check, or nothing when none was answered lately.
-  [[nodiscard]] std::optional<Tenths> shortest_health_check() const;
+  [[nodiscard]] std::optional<Duration> shortest_health_check() const;
 
   /// The estimate to be reported now, if any: once a second while it is over a third of `objective`, and once
   /// more when it has fallen under.
@@ -26,21 +26,22 @@
   /// @param unanswered how long each established connection's client has waited for an answer.
   /// @param baseline the longest that a health check takes while the host is idle, as other hosts show; 0
   ///        when unknown.
-  [[nodiscard]] std::optional<Tenths> report(Tenths now, Tenths objective,
-                                             const std::vector<Tenths>& unanswered, Tenths baseline = 0);
+  [[nodiscard]] std::optional<Duration> report(TimePoint now, Duration objective,
+                                               const std::vector<Duration>& unanswered,
+                                               Duration baseline = 0);
 
  private:
   struct Sample {
-    Tenths at = 0;
-    Tenths latency = 0;
+    TimePoint at = 0;
+    Duration latency = 0;
   };
-  void expire_lines(Tenths now);
-  std::optional<Tenths> median_line_latency(Tenths limit, const std::vector<Tenths>& unanswered) const;
-  std::optional<Tenths> health_check_latency(Tenths now, Tenths objective, Tenths baseline) const;
+  void expire_lines(TimePoint now);
+  std::optional<Duration> median_line_latency(Duration limit, const std::vector<Duration>& unanswered) const;
+  std::optional<Duration> health_check_latency(TimePoint now, Duration objective, Duration baseline) const;
 
   std::deque<Sample> lines_;
   std::deque<Sample> health_checks_;
-  Tenths reported_at_ = 0;
+  TimePoint reported_at_ = 0;
   bool over_limit_ = false;
 };
 
--- a/src/node/listener.cpp
+++ b/src/node/listener.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr int kAcceptsPerTurn = 32;  // so that established connections have their turn too
-constexpr Tenths kRetryDelay = 5 * kMs;
-constexpr Tenths kRejectAfter = kSecond;  // of failing accepts: half the time that a request line is given
+constexpr Duration kRetryDelay = 5 * kMs;
+constexpr Duration kRejectAfter = kSecond;  // of failing accepts: half the time that a request line is given
 
 Socket open_spare() {
   return Socket(::open("/dev/null", O_RDONLY | O_CLOEXEC));
--- a/src/node/listener.h
+++ b/src/node/listener.h
@@ -42,7 +42,7 @@
   Socket spare_;
   Handle watched_;
   EventLoop::Deadline retry_;
-  std::optional<Tenths> failing_since_;
+  std::optional<TimePoint> failing_since_;
 };
 
 /// Answers BUSY to a client that this process has no descriptor for, and ends the sending side.
--- a/src/node/log_rate_limit.h
+++ b/src/node/log_rate_limit.h
@@ -23,7 +23,7 @@
   static constexpr int kLinesPerSecond = 5;
 
   const EventLoop& loop_;
-  Tenths second_began_ = 0;
+  TimePoint second_began_ = 0;
   int lines_ = 0;
 };
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,6 +1,7 @@
-// The program: reads its configuration, turns signals into facts, and runs the loop until the node is done.
-// Owns nothing that lasts beyond that; a fault in the configuration is told in one line, which at the start
-// ends the process and at a SIGHUP leaves everything as it was.
+// The node's program: reads its arguments and configuration, turns signals into calls of the node, and runs
+// the event loop until the node is done. Owns nothing beyond that. A fault in the configuration is one line
+// on standard error; it ends the process at the start and changes nothing at a SIGHUP. Design:
+// docs/architecture.md.
 #include <fcntl.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -12,32 +13,84 @@
 #include <stdexcept>
 
 #include "base/log.h"
+#include "base/retry.h"
 #include "node/reload.h"
-#include "policy/notes.h"
 
 using namespace dapplewharf;
 
 namespace {
 
-int signal_pipe[2] = {-1, -1};
+constexpr RetrySchedule kPipeAtStart{.max_attempts = 20, .delay = std::chrono::milliseconds(50)};
+constexpr const char* kVersion = "0.2.0";
+constexpr int kExitGood = 0;
+constexpr int kExitFailed = 1;
+constexpr int kExitUnusable = 2;
+
+int signal_pipe[2] = {-1, -1};  // a signal handler can reach nothing but globals
 
 void on_signal(int number) {
-  const int kept = errno;
+  const int saved_errno = errno;
   const char byte = static_cast<char>(number);
-  [[maybe_unused]] const ssize_t written = write(signal_pipe[1], &byte, 1);  // full: enough of them wait
-  errno = kept;
+  [[maybe_unused]] const ssize_t written = write(signal_pipe[1], &byte, 1);  // full: enough signals wait
+  errno = saved_errno;
 }
 
-constexpr int kPipeTries = 20, kPipeWaitUs = 50000;
-constexpr const char* kVersion = "0.2.0";
+// Signals are handled from here on: a SIGHUP before the node is ready would otherwise end the process.
+void open_signals() {
+  const bool opened = retry_blocking(kPipeAtStart, [](int) {
+    return pipe2(signal_pipe, O_NONBLOCK | O_CLOEXEC) == 0 ? StepResult::succeeded : StepResult::retry;
+  });
+  if (!opened) {
+    throw std::runtime_error("no pipe for signals");
+  }
+  for (const int number : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) {
+    std::signal(number, on_signal);
+  }
+  std::signal(SIGPIPE, SIG_IGN);
+}
+
+void read_signals(Node& node, Reloader& reloader) {
+  char numbers[64];
+  const ssize_t received = read(signal_pipe[0], numbers, sizeof numbers);
+  bool reload = false;  // once for any number of SIGHUPs: the files as they are now count
+  for (ssize_t i = 0; i < received; ++i) {
+    if (numbers[i] == SIGUSR1) {
+      node.report();
+    } else if (numbers[i] == SIGHUP) {
+      reload = true;
+    } else {
+      node.stop();
+    }
+  }
+  if (reload) {
+    reloader.reload();
+  }
+}
 
-// The files to read, or the exit code of a call that only asks something.
-struct Asked {
+// The files to read, or the exit code of a call that serves nobody.
+struct CommandLine {
   Files files;
-  std::optional<int> code;
+  std::optional<int> exit_code;
 };
-Asked asked_of(int count, char** words) {
-  Asked out;
+
+// Prints what is wrong with the files, or that nothing is; returns the exit code.
+int check(const Files& files) {
+  const std::string faults = told_whole(files);
+  std::cerr << faults;
+  const Read read = read_configuration(files, Source::environment_first);
+  if (read.taken) {
+    std::cout << "the configuration is good" << std::endl;
+    return kExitGood;
+  }
+  // Faults of files that are not in the language are not among those printed.
+  if (faults.find(read.fault.substr(0, read.fault.find(": "))) == std::string::npos) {
+    std::cerr << "dapplewharf: " << read.fault << std::endl;
+  }
+  return kExitUnusable;
+}
+
+CommandLine parse(int count, char** words) {
+  CommandLine out;
   CLI::App app(
       "A balancer for long-lived connections. Without arguments it reads the JSON that PROXY_CONFIG names.");
   bool only_check = false;
@@ -55,86 +108,53 @@
     return {{}, app.exit(answered)};
   } catch (const CLI::ParseError& error) {
     std::cerr << "dapplewharf:0:0: " << error.what() << "; expected arguments as --help shows" << std::endl;
-    return {{}, 2};
+    return {{}, kExitUnusable};
   }
   const char* variable = std::getenv("PROXY_CONFIG");
   out.files.json = variable ? variable : "";
-  if (!only_check) {
-    return out;
+  if (only_check) {
+    out.exit_code = check(out.files);
   }
-  const std::string told = told_whole(out.files);
-  std::cerr << told;
-  const Read read = read_configuration(out.files, Source::environment_first);
-  // What is no file in the language is not among those: the platform's JSON, and settings to watch.
-  if (!read.taken && told.find(read.fault.substr(0, read.fault.find(": "))) == std::string::npos) {
-    std::cerr << "dapplewharf: " << read.fault << std::endl;
+  return out;
+}
+
+int serve(const Files& files) {
+  open_signals();
+  Read first = read_at_start(files);
+  if (!first.taken) {
+    throw std::runtime_error(first.fault);
   }
-  if (read.taken) {
-    std::cout << "the configuration is good" << std::endl;
+  first.taken->descriptors = descriptor_limit(first.taken->descriptors);
+  set_log(first.taken->log);
+  EventLoop loop;
+  Node node(loop, std::move(*first.taken));
+  Reloader reloader(loop, node, files);
+  loop.watch(signal_pipe[0], POLLIN, [&](short) { read_signals(node, reloader); });
+  if (const auto fault = node.start()) {
+    throw std::runtime_error("'listen' cannot be used: " + *fault);
   }
-  out.code = read.taken ? 0 : 2;
-  return out;
+  spdlog::info("started");
+  while (!node.done()) {
+    loop.turn(kSecond);
+    node.settle();
+  }
+  node.report();
+  spdlog::info("ended");
+  return kExitGood;
 }
 
 }  // namespace
 
 int main(int count, char** words) {
-  const Asked asked = asked_of(count, words);
-  if (asked.code) {
-    return *asked.code;
+  const CommandLine command = parse(count, words);
+  if (command.exit_code) {
+    return *command.exit_code;
   }
   open_log();
   try {
-    for (int i = 1; pipe2(signal_pipe, O_NONBLOCK | O_CLOEXEC) != 0; ++i) {
-      if (i == kPipeTries) {
-        throw std::runtime_error("no pipe for signals");
-      }
-      usleep(kPipeWaitUs);  // danger: a system short of descriptors for a moment would refuse the start
-    }
-    // Danger: a SIGHUP that comes before the node is ready would end it.
-    for (const int number : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) {
-      std::signal(number, on_signal);
-    }
-    std::signal(SIGPIPE, SIG_IGN);
-    Read first = read_at_start(asked.files);
-    if (!first.taken) {
-      throw std::runtime_error(first.fault);
-    }
-    first.taken->descriptors = descriptor_limit(first.taken->descriptors);
-    set_log(first.taken->log);
-    EventLoop loop;
-    Node node(loop, std::move(*first.taken));
-    Reloader reloader(loop, node, asked.files);
-    loop.watch(signal_pipe[0], POLLIN, [&node, &reloader](short) {
-      char bytes[64];
-      const ssize_t got = read(signal_pipe[0], bytes, sizeof bytes);
-      bool anew = false;  // however many came: the file as it is now is what counts
-      for (ssize_t i = 0; i < got; ++i) {
-        if (bytes[i] == SIGUSR1) {
-          node.report();
-        } else if (bytes[i] == SIGHUP) {
-          anew = true;
-        } else {
-          node.stop();
-        }
-      }
-      if (anew) {
-        reloader.reload();
-      }
-    });
-    if (const auto fault = node.start()) {
-      throw std::runtime_error("'listen' cannot be used: " + *fault);
-    }
-    spdlog::info("started");
-    while (!node.done()) {
-      loop.turn(kSecond);
-      node.settle();
-    }
-    node.report();
-    spdlog::info("ended");
-    return 0;
+    return serve(command.files);
   } catch (const std::exception& error) {
     std::cerr << "dapplewharf: " << error.what() << std::endl;
-    return 1;
+    return kExitFailed;
   }
 }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -6,17 +6,17 @@
 
 #include <algorithm>
 #include <cmath>
+#include <variant>
 
-#include "config/platform_settings.h"
 #include "policy/backoff.h"
 
 namespace dapplewharf {
 namespace {
 
-constexpr Tenths kSampleInterval = 100 * kMs;
-constexpr Tenths kUnansweredInterval = kSecond;  // between reports of one line that stays unanswered
-constexpr double kGossipStep = 0.5;              // connections: a smaller change is not reported
-constexpr double kUnknown = -1;                  // of the connections elsewhere, in an event
+constexpr Duration kSampleInterval = 100 * kMs;
+constexpr Duration kUnansweredInterval = kSecond;  // between reports of one line that stays unanswered
+constexpr double kGossipStep = 0.5;                // connections: a smaller change is not reported
+constexpr double kUnknown = -1;                    // of the connections elsewhere, in an event
 // A parsed endpoint list takes up to twenty times its size in memory.
 constexpr double kListMemoryShare = 32;
 constexpr double kBytesPerMegabyte = 1024.0 * 1024.0;
@@ -26,9 +26,9 @@
 Node::Node(EventLoop& loop, Configuration configuration)
     : loop_(loop),
       configuration_(std::move(configuration)),
-      balancer_settings_(settings_of(configuration_.env)),
+      settings_(node_settings_of(configuration_.env)),
       random_(hash(configuration_.seed)),
-      load_balancer_(balancer_settings_, configuration_.seed, loop.now()),
+      load_balancer_(settings_.policy, configuration_.seed, loop.now()),
       requests_({.loop = loop,
                  .counters = counters_,
                  .limits = limits_,
@@ -38,34 +38,32 @@
                  .events = events_,
                  .random = random_}),
       discovery_(loop, counters_, configuration_.discovery, limits_, configuration_.seed,
-                 {.listed =
-                      [this](const EndpointSnapshot& list) {
-                        discovery_losses_ = 0;
-                        on_endpoint_list(list, list.whole ? EventKind::list_whole : EventKind::list_changes);
-                      },
+                 {.listed = [this](const EndpointSnapshot& list) { on_list_received(list); },
                   .lost = [this] { on_discovery_lost(); }}),
       health_checker_(loop, counters_, limits_,
-                      [this](const std::string& host, const HealthChecker::Probed& health_check) {
+                      [this](const std::string& host, const HealthCheckResult& health_check) {
                         on_health_check_ended(host, health_check);
                       }),
       gossip_(loop, counters_, configuration_.peers, configuration_.seed) {
   if (configuration_.shadow) {
-    shadow_ = std::make_unique<Shadow>(settings_of(*configuration_.shadow), configuration_.seed, loop.now());
+    shadow_ =
+        std::make_unique<Shadow>(policy_settings_of(*configuration_.shadow), configuration_.seed, loop.now());
   }
   apply_settings();
 }
 
 void Node::apply_settings() {
-  settings_ = node_settings_of(balancer_settings_, configuration_.env);
-  endpoints_.set_only_draining_binds(settings_.only_draining_binds);
-  limits_.connect_time = settings_.connect_timeout;
+  endpoints_.set_only_draining_binds(settings_.policy.only_drains_bind);
+  limits_.connect_time = settings_.policy.connect_timeout;
   limits_.descriptors = configuration_.descriptors;
   limits_.list_bytes =
       static_cast<std::size_t>(configuration_.memory_mb * kBytesPerMegabyte / kListMemoryShare);
 }
 
 std::optional<std::string> Node::start() {
-  on_endpoint_list(known_list(), EventKind::list_copy);
+  const EndpointSnapshot known = known_list();
+  apply_list(known);
+  events_.add(EndpointsCached{.endpoints = known.listings});
   settle();
   subscribe();
   sample();
@@ -81,8 +79,8 @@
   }
   try {
     EndpointSnapshot known =
-        list_of(configuration_.known, discovery_.starts, loop_.now(), EventLoop::unix_now());
-    discovery_.knows(known.version);
+        list_of(configuration_.known, discovery_.incarnations(), loop_.now(), EventLoop::unix_now());
+    discovery_.set_known_version(known.version);
     return known;
   } catch (const std::exception& error) {
     spdlog::warn("known_list_unusable error=\"{}\"", error.what());
@@ -95,40 +93,50 @@
 // A service that is back counts as having notified every node, and draining endpoints are sent to until a
 // node has asked. No wait is therefore longer than half of the drain's grace period.
 void Node::subscribe() {
-  if (!settings_.watches_discovery) {
+  if (settings_.policy.polls_endpoints) {  // the load balancer asks for each list itself
     return;
   }
-  const Backoff backoff(settings_.nodes, settings_.drain_grace / 2);
-  const Tenths delay = discovery_losses_ == 0 ? 0 : backoff.again(discovery_losses_, random_.share());
+  const Backoff backoff(settings_.policy.node_count, settings_.policy.drain_grace / 2);
+  const Duration delay = discovery_losses_ == 0 ? 0 : backoff.again(discovery_losses_, random_.share());
   loop_.at(next_subscription_, loop_.now() + delay, [this] { discovery_.watch(); });
 }
 
-void Node::on_endpoint_list(const EndpointSnapshot& list, EventKind kind) {
-  for (const std::string& host : endpoints_.apply(list, settings_.zone)) {
+void Node::apply_list(const EndpointSnapshot& list) {
+  for (const std::string& host : endpoints_.apply(list, settings_.policy.zone)) {
     health_checker_.forget(host);  // one that connects late would be new work as well
   }
-  events_.add(kind).listings = list.listings;
+}
+
+void Node::on_list_received(const EndpointSnapshot& list) {
+  discovery_losses_ = 0;
+  apply_list(list);
+  if (list.whole) {
+    events_.add(EndpointsSnapshot{.endpoints = list.listings});
+  } else {
+    events_.add(EndpointsUpdate{.endpoints = list.listings});
+  }
 }
 
 void Node::on_discovery_lost() {
   ++discovery_losses_;
-  events_.add(EventKind::list_lost);
+  events_.add(EndpointWatchFailed{});
   subscribe();
 }
 
-void Node::on_health_check_ended(const std::string& host, const HealthChecker::Probed& health_check) {
-  Event& event = events_.add(EventKind::probe_ended, "", host);
-  event.outcome = outcome_of(health_check.end);
-  event.took = health_check.took;
-  if (health_check.answer_after > 0 && loop_.late() < kHeldUp) {
-    endpoints_.latency(host).record_health_check(loop_.now(), health_check.answer_after);
+void Node::on_health_check_ended(const std::string& host, const HealthCheckResult& health_check) {
+  events_.add(HealthCheckEnded{.endpoint = host,
+                               .outcome = outcome_of(health_check.result),
+                               .duration = health_check.duration,
+                               .report = {}});
+  if (health_check.latency > 0 && loop_.late() < kHeldUp) {
+    endpoints_.latency(host).record_health_check(loop_.now(), health_check.latency);
   }
 }
 
 // ---- periodic samples ----
 
 void Node::sample() {
-  const Tenths since_last_sample = loop_.now() - sampled_at_;
+  const Duration since_last_sample = loop_.now() - sampled_at_;
   sampled_at_ = loop_.now();
   loop_.at(next_sample_, sampled_at_ + kSampleInterval, [this] { sample(); });
   if (shadow_) {
@@ -141,21 +149,21 @@
   report_latencies(unanswered_lines(since_last_sample));
 }
 
-Node::UnansweredByHost Node::unanswered_lines(Tenths since_last_sample) {
+Node::UnansweredByHost Node::unanswered_lines(Duration since_last_sample) {
   UnansweredByHost lines;
-  requests_.each_established([&](const std::string& id, const std::string& host, Tenths unanswered) {
+  requests_.each_established([&](const std::string& id, const std::string& host, Duration unanswered) {
     lines[host].request_id = id;
     lines[host].ages.push_back(unanswered);
-    const Tenths before = std::max<Tenths>(unanswered - since_last_sample, 0);
+    const Duration before = std::max<Duration>(unanswered - since_last_sample, 0);
     if (unanswered / kUnansweredInterval > before / kUnansweredInterval) {
-      events_.add(EventKind::unanswered, id, host).figure = static_cast<double>(unanswered);
+      events_.add(RequestStalled{.request_id = id, .endpoint = host, .unanswered_for = unanswered});
     }
   });
   return lines;
 }
 
 void Node::report_latencies(UnansweredByHost unanswered) {
-  const std::map<std::string, Tenths> idle_times = endpoints_.idle_health_check_times();
+  const std::map<std::string, Duration> idle_times = endpoints_.idle_health_check_times();
   // An endpoint whose last connection has ended is reported on as well: unreported, a slow one would seem
   // recovered.
   for (const std::string& host : endpoints_.measured()) {
@@ -163,11 +171,12 @@
   }
   for (const auto& [host, lines] : unanswered) {
     const auto idle = idle_times.find(host);
-    const Tenths baseline = idle == idle_times.end() ? 0 : idle->second;
-    const auto latency =
-        endpoints_.latency(host).report(loop_.now(), settings_.message_objective, lines.ages, baseline);
+    const Duration baseline = idle == idle_times.end() ? 0 : idle->second;
+    const auto latency = endpoints_.latency(host).report(
+        loop_.now(), settings_.policy.shortest_message_objective, lines.ages, baseline);
     if (latency) {
-      events_.add(EventKind::delay_told, lines.request_id, host).figure = static_cast<double>(*latency);
+      events_.add(LatencyReported{
+          .request_id = lines.request_id, .endpoint = host, .latency = static_cast<double>(*latency)});
     }
   }
 }
@@ -184,7 +193,7 @@
       return;
     }
     record.connections_elsewhere = elsewhere;
-    events_.add(EventKind::peer_word, "", host).figure = elsewhere.value_or(kUnknown);
+    events_.add(GossipReceived{.endpoint = host, .connections_elsewhere = elsewhere});
   });
 }
 
@@ -192,65 +201,76 @@
 
 void Node::settle() {
   while (!events_.empty()) {
-    const std::vector<Event> batch = events_.take();
-    const std::vector<Action> actions = load_balancer_.handle_events(loop_.now(), batch);
+    const std::vector<PolicyEvent> batch = events_.take();
+    const std::vector<PolicyAction> actions = load_balancer_.handle_events(loop_.now(), batch);
     if (shadow_) {
       run_shadow(batch, actions);
     }
-    for (const Action& action : actions) {
-      carry_out(action);
+    for (const PolicyAction& action : actions) {
+      std::visit([this](const auto& one) { carry_out(one); }, action);
     }
   }
 }
 
-void Node::run_shadow(const std::vector<Event>& events, const std::vector<Action>& actions) {
-  if (shadow_->off()) {
+void Node::run_shadow(const std::vector<PolicyEvent>& events, const std::vector<PolicyAction>& actions) {
+  if (shadow_->stopped()) {
     return;
   }
   shadow_->follow(loop_.now(), events, actions);
-  if (shadow_->off()) {
-    spdlog::warn("shadow_stopped error=\"{}\"", shadow_->why());
+  if (shadow_->stopped()) {
+    spdlog::warn("shadow_stopped error=\"{}\"", shadow_->error());
   }
 }
 
-void Node::carry_out(const Action& action) {
-  switch (action.kind) {
-    case ActionKind::setup_try:
-      return requests_.start_attempt(action.id, action.host, action.time);
-    case ActionKind::cancel_try:
-      return requests_.cancel_attempt(action.id);
-    case ActionKind::reject:
-      return requests_.reject(action.id, action.time);
-    case ActionKind::scrap:
-      return requests_.fail(action.id);
-    case ActionKind::move:
-      return requests_.migrate(action.id);
-    case ActionKind::probe:
-      return health_checker_.probe(action.host, endpoints_.address(action.host));
-    case ActionKind::set_alarm:
-      return set_timer(action);
-    case ActionKind::subscribe:
-      return discovery_.watch();
-    case ActionKind::fetch_list:
-      return discovery_.fetch();
-    case ActionKind::log:
-      return log_decision(action.text);
-  }
+void Node::carry_out(const StartAttempt& action) {
+  requests_.start_attempt(action.request_id, action.endpoint, action.timeout);
+}
+
+void Node::carry_out(const CancelAttempt& action) {
+  requests_.cancel_attempt(action.request_id);
+}
+
+void Node::carry_out(const RejectRequest& action) {
+  requests_.reject(action.request_id, action.retry_after);
+}
+
+void Node::carry_out(const FailRequest& action) {
+  requests_.fail(action.request_id);
+}
+
+void Node::carry_out(const MigrateConnection& action) {
+  requests_.migrate(action.request_id);
 }
 
-void Node::set_timer(const Action& action) {
-  EventLoop::Deadline timer;  // the load balancer never cancels one
-  loop_.at(timer, loop_.now() + action.time,
-           [this, number = action.number] { events_.add(EventKind::alarm).number = number; });
+void Node::carry_out(const CheckHealth& action) {
+  health_checker_.check(action.endpoint, endpoints_.address(action.endpoint));
+}
+
+void Node::carry_out(const SetTimer& action) {
+  EventLoop::Deadline deadline;  // the load balancer never cancels a timer
+  loop_.at(deadline, loop_.now() + action.delay,
+           [this, timer = action.timer] { events_.add(TimerFired{.timer = timer}); });
+}
+
+void Node::carry_out(const WatchEndpoints&) {
+  discovery_.watch();
+}
+
+void Node::carry_out(const FetchEndpoints&) {
+  discovery_.fetch();
+}
+
+void Node::carry_out(const LogMessage& action) {
+  log_decision(action.text);
 }
 
 // ---- shutdown, reload and report ----
 
 void Node::stop() {
-  if (!shutdown_.begin(loop_.now(), settings_.longest_wait)) {
+  if (!shutdown_.begin(loop_.now(), settings_.policy.longest_deadline())) {
     return;
   }
-  events_.add(EventKind::stopping).expiry = shutdown_.answers_due();
+  events_.add(ShutdownStarted{.answer_by = shutdown_.answers_due()});
   requests_.shorten_to_shutdown();
   loop_.at(close_requests_, shutdown_.requests_close_at(), [this] { requests_.close_all(); });
   spdlog::info("shutdown_started open_connections={}", requests_.open_connections());
@@ -294,20 +314,20 @@
   }
   configuration_ = *read.taken;
   configuration_.descriptors = descriptor_limit(configuration_.descriptors);
-  balancer_settings_ = settings_of(configuration_.env);
-  const std::string former_zone = settings_.zone;
-  load_balancer_.update_settings(balancer_settings_);
+  const std::string former_zone = settings_.policy.zone;
+  settings_ = node_settings_of(configuration_.env);
+  if (settings_.policy.zone != former_zone) {
+    endpoints_.leave_zone();
+  }
+  load_balancer_.update_settings(settings_.policy);
   if (!configuration_.shadow) {
     shadow_.reset();
   }
   if (shadow_) {
-    shadow_->update_settings(settings_of(*configuration_.shadow));
+    shadow_->update_settings(policy_settings_of(*configuration_.shadow));
   }
   set_log(configuration_.log);
   apply_settings();
-  if (settings_.zone != former_zone) {
-    endpoints_.leave_zone();
-  }
   discovery_.move_to(configuration_.discovery);
   spdlog::info("configuration_reloaded discovery={}", configuration_.discovery);
 }
@@ -316,7 +336,7 @@
   spdlog::info("{}", counters_.format());
   spdlog::info("{}", counters_.format_with_former_names());
   if (shadow_) {
-    spdlog::info("{}{}", shadow_->counts().told(), shadow_->off() ? " | let go" : "");
+    spdlog::info("{}{}", shadow_->counts().format(), shadow_->stopped() ? " | let go" : "");
   }
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -47,29 +47,37 @@
  private:
   struct UnansweredLines {
     std::string request_id;  // of one connection to the host
-    std::vector<Tenths> ages;
+    std::vector<Duration> ages;
   };
   using UnansweredByHost = std::map<std::string, UnansweredLines>;
 
   void apply_settings();
   EndpointSnapshot known_list();
   void subscribe();
-  void on_endpoint_list(const EndpointSnapshot& list, EventKind kind);
+  void apply_list(const EndpointSnapshot& list);
+  void on_list_received(const EndpointSnapshot& list);
   void on_discovery_lost();
-  void on_health_check_ended(const std::string& host, const HealthChecker::Probed& health_check);
+  void on_health_check_ended(const std::string& host, const HealthCheckResult& health_check);
   void sample();
   void exchange_gossip();
-  UnansweredByHost unanswered_lines(Tenths since_last_sample);
+  UnansweredByHost unanswered_lines(Duration since_last_sample);
   void report_latencies(UnansweredByHost unanswered);
-  void carry_out(const Action& action);
-  void set_timer(const Action& action);
-  void run_shadow(const std::vector<Event>& events, const std::vector<Action>& actions);
+  void carry_out(const StartAttempt& action);
+  void carry_out(const CancelAttempt& action);
+  void carry_out(const RejectRequest& action);
+  void carry_out(const FailRequest& action);
+  void carry_out(const MigrateConnection& action);
+  void carry_out(const CheckHealth& action);
+  void carry_out(const SetTimer& action);
+  void carry_out(const WatchEndpoints& action);
+  void carry_out(const FetchEndpoints& action);
+  void carry_out(const LogMessage& action);
+  void run_shadow(const std::vector<PolicyEvent>& events, const std::vector<PolicyAction>& actions);
   [[nodiscard]] std::string reload_fault(const Read& read) const;
 
   EventLoop& loop_;
   Counters counters_;
   Configuration configuration_;
-  SettingsMap balancer_settings_;
   NodeSettings settings_;
   Limits limits_;
   RandomGenerator random_;
@@ -83,7 +91,7 @@
   HealthChecker health_checker_;
   GossipSocket gossip_;
   int discovery_losses_ = 0;  // calls lost in a row
-  Tenths sampled_at_ = 0;
+  TimePoint sampled_at_ = 0;
   EventLoop::Deadline next_sample_;
   EventLoop::Deadline next_subscription_;
   EventLoop::Deadline close_requests_;
--- a/src/node/proxied_connection.h
+++ b/src/node/proxied_connection.h
@@ -28,20 +28,20 @@
 struct AttemptState {
   bool active = false;
   AttemptProgress progress = AttemptProgress::not_connected;
-  Tenths deadline = 0;
+  TimePoint deadline = 0;
   std::string answer;  ///< the host's first line, as far as it has come
 };
 
 /// What the relay knows of an established connection.
 struct RelayState {
-  std::optional<Tenths> request_sent_at;  ///< of the client's first line since the host's last one
-  std::string partial_line;               ///< the start of the host's line that is coming
-  Word last_line = Word::other;           ///< the host's last complete line
-  std::size_t complete_bytes = 0;         ///< of the bytes pending for the client, up to the end of a line
-  bool mid_line = false;                  ///< the client has the start of a line whose end has not come
-  bool migration_pending = false;         ///< to be migrated at the end of that line
+  std::optional<TimePoint> request_sent_at;  ///< of the client's first line since the host's last one
+  std::string partial_line;                  ///< the start of the host's line that is coming
+  Word last_line = Word::other;              ///< the host's last complete line
+  std::size_t complete_bytes = 0;            ///< of the bytes pending for the client, up to the end of a line
+  bool mid_line = false;                     ///< the client has the start of a line whose end has not come
+  bool migration_pending = false;            ///< to be migrated at the end of that line
   bool client_closed_first = false;
-  Tenths last_activity = 0;  ///< when bytes last came from either side
+  TimePoint last_activity = 0;  ///< when bytes last came from either side
 };
 
 struct ProxiedConnection {
--- a/src/node/reload.cpp
+++ b/src/node/reload.cpp
@@ -26,7 +26,7 @@
   read(loop_.now() + kRetryFor);
 }
 
-void Reloader::read(Tenths until) {
+void Reloader::read(TimePoint until) {
   const Read found = read_configuration(files_, Source::file_only);
   if (!found.taken && found.unreadable && loop_.now() < until) {
     return loop_.at(retry_, loop_.now() + kRetryDelay, [this, until] { read(until); });
--- a/src/node/reload.h
+++ b/src/node/reload.h
@@ -17,11 +17,11 @@
   /// it.
   void reload();
 
-  static constexpr Tenths kRetryFor = 2 * kSecond;
-  static constexpr Tenths kRetryDelay = 50 * kMs;
+  static constexpr Duration kRetryFor = 2 * kSecond;
+  static constexpr Duration kRetryDelay = 50 * kMs;
 
  private:
-  void read(Tenths until);
+  void read(TimePoint until);
 
   EventLoop& loop_;
   Node& node_;
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -40,24 +40,12 @@
 void RequestHandler::on_request(Handle handle, const RequestLine& line) {
   const std::string id = id_of(handle);
   const bool adopted = !line.at.empty();
-  Event& event = events_.add(adopted ? EventKind::handed_over : EventKind::attachment, id, line.at);
-  event.traffic_type = line.traffic_type;
-  event.tenant = line.tenant;
-  event.key = line.key;
-  if (settings_.affinity_groups) {
-    event.group = line.group;
-  }
-  event.expiry = loop_.now() + line.wait;
-  if (shutdown_.in_progress()) {
-    event.expiry = std::min(event.expiry, shutdown_.answers_due());
-  }
-  event.repeated = line.repeated;
-  event.returned = line.returned;
-  event.pending = adopted;
+  const RequestAttributes attributes = attributes_of(id, line);
   Request request;
   request.handle = handle;
   request.client_id = line.id;
   if (adopted) {
+    events_.add(ConnectionAdopted{.request = attributes, .endpoint = line.at, .is_pending = true});
     ++counters_.connections_adopted;
     request.host = line.at;
     request.adopted = true;
@@ -65,21 +53,41 @@
     request.sent_at = loop_.now();
     request.attempt_in_progress = true;
     request.reconnect.emplace(loop_.now(), line.wait);
+  } else {
+    events_.add(RequestReceived{.request = attributes});
   }
-  ledger_.open(id, settings_.repeat_rule(line.traffic_type), event.expiry);
+  ledger_.open(id, settings_.repeat_rule(line.traffic_type), attributes.deadline);
   requests_[id] = std::move(request);
   if (adopted) {
     reconnect(handle);
   }
 }
 
+RequestAttributes RequestHandler::attributes_of(const std::string& id, const RequestLine& line) const {
+  RequestAttributes attributes;
+  attributes.id = id;
+  attributes.traffic_type = line.traffic_type;
+  attributes.tenant = line.tenant;
+  attributes.client_key = line.key;
+  if (settings_.affinity_groups) {
+    attributes.affinity_group = line.group;
+  }
+  attributes.deadline = loop_.now() + line.wait;
+  if (shutdown_.in_progress()) {
+    attributes.deadline = std::min(attributes.deadline, shutdown_.answers_due());
+  }
+  attributes.is_migrated = line.returned;
+  attributes.is_retry = line.repeated;
+  return attributes;
+}
+
 void RequestHandler::on_client_left(Handle handle) {
   Request* request = find(handle);
   if (!request) {
     return;
   }
   const std::string id = id_of(handle);
-  events_.add(EventKind::client_left, id);
+  events_.add(ClientDisconnected{.request_id = id});
   ledger_.client_left(id);
   if (!request->attempt_in_progress) {
     return release(id);
@@ -101,10 +109,12 @@
   }
   ledger_.answered(id);
   request->established = true;
-  Event& event = events_.add(EventKind::established, id, request->host);
-  event.number = request->attempts - 1;
-  event.took = loop_.now() - request->sent_at;
-  spdlog::debug("connection_established host={} setup_ms={} adopted={}", request->host, event.took / kMs,
+  const Duration setup_time = loop_.now() - request->sent_at;
+  events_.add(AttemptEstablished{.request_id = id,
+                                 .endpoint = request->host,
+                                 .attempt = request->attempts - 1,
+                                 .setup_time = setup_time});
+  spdlog::debug("connection_established host={} setup_ms={} adopted={}", request->host, setup_time / kMs,
                 request->adopted);
 }
 
@@ -126,11 +136,13 @@
 void RequestHandler::report_attempt_end(Handle handle, Request& request, Outcome outcome) {
   const std::string id = id_of(handle);
   const bool final = request.established || request.client_done || request.adopted;
-  Event& event = events_.add(EventKind::try_ended, id, request.host);
-  event.number = request.attempts - 1;
-  event.outcome = outcome;
-  event.took = loop_.now() - request.sent_at;
-  event.final = final;
+  const Duration duration = loop_.now() - request.sent_at;
+  events_.add(AttemptEnded{.request_id = id,
+                           .endpoint = request.host,
+                           .attempt = request.attempts - 1,
+                           .outcome = outcome,
+                           .duration = duration,
+                           .is_final = final});
   count(outcome);
   if (outcome == Outcome::withdrawn) {
     --request.attempts;  // nothing of it left this process
@@ -138,7 +150,7 @@
   // tools/count.awk reads these lines.
   spdlog::debug("{} host={} outcome={} duration_ms={}",
                 request.established ? "connection_ended" : "attempt_ended", request.host, name_of(outcome),
-                event.took / kMs);
+                duration / kMs);
   request.attempt_in_progress = false;
   if (request.awaits_reconnect()) {  // its host cannot be had any more: the connection has ended
     ++counters_.requests_failed;
@@ -191,7 +203,7 @@
   return ledger_.may_send(id_of(handle), permitted, loop_.now()) == Violation::none;
 }
 
-void RequestHandler::on_line_answered(Handle handle, Tenths latency) {
+void RequestHandler::on_line_answered(Handle handle, Duration latency) {
   const Request* request = find(handle);
   if (request && loop_.late() < kHeldUp) {
     endpoints_.latency(request->host).record_line(loop_.now(), latency);
@@ -200,13 +212,13 @@
 
 void RequestHandler::on_load_reported(Handle handle, double load) {
   if (const Request* request = find(handle)) {
-    events_.add(EventKind::load_told, id_of(handle), request->host).figure = load;
+    events_.add(LoadReported{.request_id = id_of(handle), .endpoint = request->host, .work = load});
   }
 }
 
 // ---- what the load balancer decides ----
 
-void RequestHandler::start_attempt(const std::string& id, const std::string& host, Tenths timeout) {
+void RequestHandler::start_attempt(const std::string& id, const std::string& host, Duration timeout) {
   Request* request = find(id);
   if (!request) {
     return;
@@ -220,10 +232,12 @@
     return;
   }
   report_violation("begin an attempt for", id, violation);
-  Event& event = events_.add(EventKind::try_ended, id, host);
-  event.number = request->attempts - 1;
-  event.outcome = Outcome::not_sent;
-  event.final = true;
+  events_.add(AttemptEnded{.request_id = id,
+                           .endpoint = host,
+                           .attempt = request->attempts - 1,
+                           .outcome = Outcome::not_sent,
+                           .duration = 0,
+                           .is_final = true});
   answer(id, FinalAnswer::error, kErrorLine);
 }
 
@@ -249,7 +263,7 @@
   }
 }
 
-void RequestHandler::reject(const std::string& id, Tenths retry_after) {
+void RequestHandler::reject(const std::string& id, Duration retry_after) {
   ++counters_.requests_rejected;
   const Request* request = find(id);
   spdlog::debug("request_rejected retry_after_ms={} attempts={}", retry_after / kMs,
@@ -321,9 +335,9 @@
     return;
   }
   request->between_attempts = false;
-  Tenths timeout = request->reconnect->attempt_time(loop_.now());
+  Duration timeout = request->reconnect->attempt_time(loop_.now());
   if (shutdown_.in_progress()) {
-    timeout = std::max<Tenths>(1, std::min(timeout, shutdown_.answers_due() - loop_.now()));
+    timeout = std::max<Duration>(1, std::min(timeout, shutdown_.answers_due() - loop_.now()));
   }
   const Violation violation = begin_attempt(*request, id_of(handle), {.total = timeout, .connect = timeout});
   if (violation == Violation::none) {
@@ -343,7 +357,7 @@
   const bool permitted = endpoints_.permits(request.host, EndpointUse::reconnect_later);
   const Violation violation =
       ledger_.may_begin(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
-  std::optional<Tenths> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
+  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
   if (violation != Violation::none || shutdown_.in_progress()) {
     delay.reset();
   }
@@ -358,9 +372,9 @@
   return true;
 }
 
-void RequestHandler::log_reconnect(const Request& request, AttemptResult result, std::optional<Tenths> delay,
-                                   Violation violation) const {
-  const Tenths duration = loop_.now() - request.sent_at;
+void RequestHandler::log_reconnect(const Request& request, AttemptResult result,
+                                   std::optional<Duration> delay, Violation violation) const {
+  const Duration duration = loop_.now() - request.sent_at;
   if (delay) {
     spdlog::info("reconnect_scheduled request={} host={} duration_ms={} progress={} reason={} delay_ms={}",
                  request.client_id, request.host, duration / kMs, name_of(result.progress),
--- a/src/node/request_handler.h
+++ b/src/node/request_handler.h
@@ -40,10 +40,10 @@
   std::optional<std::string> listen(const sockaddr_in& address) { return connections_.listen(address); }
 
   /// @param timeout for the whole attempt, in ticks of 0.1 ms.
-  void start_attempt(const std::string& id, const std::string& host, Tenths timeout);
+  void start_attempt(const std::string& id, const std::string& host, Duration timeout);
   void cancel_attempt(const std::string& id);
   /// Answers BUSY. @param retry_after when the client may come back, in ticks of 0.1 ms; 0: not told.
-  void reject(const std::string& id, Tenths retry_after);
+  void reject(const std::string& id, Duration retry_after);
   /// Answers ERR.
   void fail(const std::string& id);
   /// Tells the client of an established or adopted connection to reconnect elsewhere.
@@ -65,7 +65,7 @@
   /// long its client has waited for an answer to a line; 0 when it does not wait.
   template <class Visit>
   void each_established(Visit visit) {
-    connections_.each_established([&](Handle handle, Tenths unanswered) {
+    connections_.each_established([&](Handle handle, Duration unanswered) {
       const Request* request = find(handle);
       if (request && request->established) {
         visit(id_of(handle), request->host, unanswered);
@@ -79,7 +79,7 @@
     std::string client_id;  // the client's own, for the log
     std::string host;
     int attempts = 0;
-    Tenths sent_at = 0;
+    TimePoint sent_at = 0;
     bool attempt_in_progress = false;  // or the connection that it became
     bool established = false;
     bool client_done = false;                  // it was answered, migrated or left
@@ -91,8 +91,8 @@
     [[nodiscard]] bool awaits_reconnect() const { return adopted && !established && !client_done; }
   };
   struct AttemptTimeouts {
-    Tenths total = 0;
-    std::optional<Tenths> connect;
+    Duration total = 0;
+    std::optional<Duration> connect;
   };
 
   void on_request(Handle handle, const RequestLine& line) override;
@@ -100,16 +100,17 @@
   void on_established(Handle handle) override;
   void on_attempt_ended(Handle handle, AttemptResult result) override;
   bool may_send(Handle handle) override;
-  void on_line_answered(Handle handle, Tenths latency) override;
+  void on_line_answered(Handle handle, Duration latency) override;
   void on_load_reported(Handle handle, double load) override;
 
   static std::string id_of(Handle handle);
   Request* find(Handle handle);
   Request* find(const std::string& id);
+  [[nodiscard]] RequestAttributes attributes_of(const std::string& id, const RequestLine& line) const;
   Violation begin_attempt(Request& request, const std::string& id, const AttemptTimeouts& timeouts);
   void reconnect(Handle handle);
   bool reconnect_later(Handle handle, Request& request, AttemptResult result);
-  void log_reconnect(const Request& request, AttemptResult result, std::optional<Tenths> delay,
+  void log_reconnect(const Request& request, AttemptResult result, std::optional<Duration> delay,
                      Violation violation) const;
   void report_attempt_end(Handle handle, Request& request, Outcome outcome);
   void count(Outcome outcome);
@@ -131,6 +132,6 @@
 
 /// A turn of the event loop that came later than this says that the process was held up: what it measured
 /// then is its own delay. Ticks of 0.1 ms.
-constexpr Tenths kHeldUp = 50 * kMs;
+constexpr Duration kHeldUp = 50 * kMs;
 
 }  // namespace dapplewharf
--- a/src/node/shutdown.cpp
+++ b/src/node/shutdown.cpp
@@ -5,7 +5,7 @@
 
 namespace dapplewharf {
 
-bool Shutdown::begin(Tenths now, std::optional<Tenths> longest_deadline) {
+bool Shutdown::begin(TimePoint now, std::optional<Duration> longest_deadline) {
   if (began_at_) {
     return false;
   }
@@ -14,7 +14,7 @@
   return true;
 }
 
-ShutdownPhase Shutdown::phase(Tenths now) const {
+ShutdownPhase Shutdown::phase(TimePoint now) const {
   if (!began_at_) {
     return ShutdownPhase::running;
   }
--- a/src/node/shutdown.h
+++ b/src/node/shutdown.h
@@ -26,25 +26,25 @@
   /// `kLongestWait` and 0.7 s: what is in flight then is lost.
   /// @param longest_deadline of all traffic types; nothing when the settings name none.
   /// @return false when a shutdown is in progress already; it goes on unchanged.
-  bool begin(Tenths now, std::optional<Tenths> longest_deadline);
+  bool begin(TimePoint now, std::optional<Duration> longest_deadline);
 
   [[nodiscard]] bool in_progress() const { return began_at_.has_value(); }
-  [[nodiscard]] ShutdownPhase phase(Tenths now) const;
+  [[nodiscard]] ShutdownPhase phase(TimePoint now) const;
   /// By when every request in flight should be answered.
-  [[nodiscard]] Tenths answers_due() const { return ends_by_ - kAnswerMargin; }
+  [[nodiscard]] TimePoint answers_due() const { return ends_by_ - kAnswerMargin; }
   /// When what is still in flight is migrated or failed.
-  [[nodiscard]] Tenths requests_close_at() const { return ends_by_ - kAnswerMargin / 2; }
+  [[nodiscard]] TimePoint requests_close_at() const { return ends_by_ - kAnswerMargin / 2; }
   /// When the process ends at the latest.
-  [[nodiscard]] Tenths ends_by() const { return ends_by_; }
+  [[nodiscard]] TimePoint ends_by() const { return ends_by_; }
 
-  static constexpr Tenths kLateClients = kSecond;  // clients go on connecting that long after SIGTERM
-  static constexpr Tenths kLongestWait = 3 * kSecond;
-  static constexpr Tenths kKillMargin = 600 * kMs;
-  static constexpr Tenths kAnswerMargin = 100 * kMs;
+  static constexpr Duration kLateClients = kSecond;  // clients go on connecting that long after SIGTERM
+  static constexpr Duration kLongestWait = 3 * kSecond;
+  static constexpr Duration kKillMargin = 600 * kMs;
+  static constexpr Duration kAnswerMargin = 100 * kMs;
 
  private:
-  std::optional<Tenths> began_at_;
-  Tenths ends_by_ = 0;
+  std::optional<TimePoint> began_at_;
+  TimePoint ends_by_ = 0;
 };
 
 }  // namespace dapplewharf
--- a/src/node/upstream_attempt.cpp
+++ b/src/node/upstream_attempt.cpp
@@ -9,7 +9,7 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Tenths kConnectRetryDelay = 10 * kMs;  // after connecting failed on this machine
+constexpr Duration kConnectRetryDelay = 10 * kMs;  // after connecting failed on this machine
 constexpr std::size_t kLoggedAnswerBytes = 80;
 
 }  // namespace
@@ -35,7 +35,7 @@
   if (!parameters.address) {
     return end(handle, *connection, TerminationReason::connection_broken);
   }
-  const Tenths connect_timeout = parameters.connect_timeout.value_or(limits_.connect_time);
+  const Duration connect_timeout = parameters.connect_timeout.value_or(limits_.connect_time);
   connect(handle,
           {*parameters.address, std::min(connection->attempt.deadline, loop_.now() + connect_timeout)});
 }
@@ -91,7 +91,7 @@
   });
 }
 
-void UpstreamAttempts::set_timeout(Handle handle, ProxiedConnection& connection, Tenths when) {
+void UpstreamAttempts::set_timeout(Handle handle, ProxiedConnection& connection, TimePoint when) {
   loop_.at(connection.deadline, when, [this, handle] {
     if (ProxiedConnection* late = owner_.find(handle)) {
       end(handle, *late, TerminationReason::timed_out);
@@ -212,7 +212,7 @@
   owner_.on_attempt_ended(handle, {connection.attempt.progress, reason});
 }
 
-void UpstreamAttempts::shorten(Handle handle, ProxiedConnection& connection, Tenths deadline) {
+void UpstreamAttempts::shorten(Handle handle, ProxiedConnection& connection, TimePoint deadline) {
   AttemptState& attempt = connection.attempt;
   const bool waiting = connection.phase == ProxiedConnection::Phase::waiting;
   if (!attempt.active || !waiting || attempt.deadline <= deadline) {
--- a/src/node/upstream_attempt.h
+++ b/src/node/upstream_attempt.h
@@ -15,9 +15,9 @@
 
 /// What an attempt is given. Spans are in ticks of 0.1 ms.
 struct AttemptParameters {
-  std::optional<sockaddr_in> address;     ///< nothing when the host's address is unknown: the attempt fails
-  Tenths timeout = 0;                     ///< for the whole attempt
-  std::optional<Tenths> connect_timeout;  ///< the settings' connect time when absent
+  std::optional<sockaddr_in> address;       ///< nothing when the host's address is unknown: the attempt fails
+  Duration timeout = 0;                     ///< for the whole attempt
+  std::optional<Duration> connect_timeout;  ///< the settings' connect time when absent
 };
 
 /// What attempts need from the owner of the connections.
@@ -53,20 +53,20 @@
   /// Goes on with an attempt whose host's socket is ready.
   void on_host_ready(Handle handle, ProxiedConnection& connection);
   /// An attempt that is in progress lasts no longer than until `deadline`.
-  void shorten(Handle handle, ProxiedConnection& connection, Tenths deadline);
+  void shorten(Handle handle, ProxiedConnection& connection, TimePoint deadline);
   /// Closes the connection to the host without a report.
   void close_host(ProxiedConnection& connection);
 
  private:
   struct ConnectTarget {
     sockaddr_in address{};
-    Tenths deadline = 0;
+    TimePoint deadline = 0;
   };
   ProxiedConnection* find_active(Handle handle);
   ProxiedConnection* read_client_first(Handle handle);
   void connect(Handle handle, const ConnectTarget& target);
   void retry_connect(Handle handle, ProxiedConnection& connection, const ConnectTarget& target);
-  void set_timeout(Handle handle, ProxiedConnection& connection, Tenths when);
+  void set_timeout(Handle handle, ProxiedConnection& connection, TimePoint when);
   bool may_still_send(Handle handle);
   bool begin_sending(Handle handle, ProxiedConnection& connection);
   bool send_request(Handle handle, ProxiedConnection& connection);
--- a/tests/node/endpoint_discovery_test.cpp
+++ b/tests/node/endpoint_discovery_test.cpp
@@ -135,10 +135,10 @@
     idle.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
   }
   std::optional<TerminationReason> probed;
-  HealthChecker probes(loop, counters, limits, [&](const std::string&, const HealthChecker::Probed& end) {
-    probed = end.end.reason;
+  HealthChecker checker(loop, counters, limits, [&](const std::string&, const HealthCheckResult& ended) {
+    probed = ended.result.reason;
   });
-  probes.probe("h0", at);
+  checker.check("h0", at);
   EXPECT_EQ(probed, TerminationReason::no_descriptor);
   bool lost = false;
   EndpointDiscovery discovery(loop, counters, at, limits, 1,
--- a/tests/node/health_checker_test.cpp
+++ b/tests/node/health_checker_test.cpp
@@ -14,18 +14,17 @@
   Limits limits;
   limits.connect_time = 5000;
   std::vector<Tenths> answered;
-  HealthChecker probes(net.loop, counters, limits,
-                       [&](const std::string&, const HealthChecker::Probed& probed) {
-                         answered.push_back(probed.answer_after);
-                       });
-  probes.probe("h", Net::text_of(net.hosts_at));
+  HealthChecker checker(net.loop, counters, limits, [&](const std::string&, const HealthCheckResult& probed) {
+    answered.push_back(probed.latency);
+  });
+  checker.check("h", Net::text_of(net.hosts_at));
   const int host = net.host_accepts();
   for (const char* answer : {"ERR\r\n", "PONG\r\n"}) {
     net.read(host);
     net.run(5);
     net.write(host, answer);
     net.run(5);
-    probes.probe("h", Net::text_of(net.hosts_at));
+    checker.check("h", Net::text_of(net.hosts_at));
   }
   ASSERT_EQ(answered.size(), 2u);
   EXPECT_EQ(answered[0], 0);
--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -5,19 +5,59 @@
 
 #include <fstream>
 
+#include "node/request_line.h"
+#include "policy/flat_words.h"
 #include "support/fixtures.h"
 
 using namespace dapplewharf;
 
 namespace {
 
+// The typed event of a flat one, for the kinds that a day has.
+PolicyEvent typed(const Event& flat) {
+  switch (flat.kind) {
+    case EventKind::list_copy:
+      return EndpointsCached{flat.listings};
+    case EventKind::list_changes:
+      return EndpointsUpdate{flat.listings};
+    case EventKind::attachment:
+      return RequestReceived{{.id = flat.id,
+                              .traffic_type = flat.traffic_type,
+                              .tenant = flat.tenant,
+                              .client_key = flat.key,
+                              .affinity_group = flat.group,
+                              .deadline = flat.expiry}};
+    case EventKind::established:
+      return AttemptEstablished{flat.id, flat.host, flat.number, flat.took};
+    case EventKind::try_ended:
+      return AttemptEnded{flat.id, flat.host, flat.number, flat.outcome, flat.took, flat.final};
+    case EventKind::delay_told:
+      return LatencyReported{flat.id, flat.host, flat.figure};
+    case EventKind::client_left:
+      return ClientDisconnected{flat.id};
+    case EventKind::alarm:
+      return TimerFired{flat.number};
+    case EventKind::probe_ended:
+      return HealthCheckEnded{flat.host, flat.outcome, flat.took, flat.report};
+    default:
+      ADD_FAILURE() << "a day has no such event: " << static_cast<int>(flat.kind);
+      return EndpointWatchFailed{};
+  }
+}
+
+std::vector<PolicyAction> typed(const std::vector<Action>& flat) {
+  std::vector<PolicyAction> actions;
+  std::transform(flat.begin(), flat.end(), std::back_inserter(actions), from_flat);
+  return actions;
+}
+
 // A fake fleet whose module is watched by a second one with settings of its own.
 struct Watched : Fake {
   std::unique_ptr<Shadow> shadow;
   std::string actions;  // all that the real module did, in words
 
   void begin(int hosts, const SettingsMap& others) {
-    shadow = std::make_unique<Shadow>(others, 7, now);
+    shadow = std::make_unique<Shadow>(settings_from_map(others), 7, now);
     node = std::make_unique<LoadBalancer>(settings, 7, now);
     Event list;
     list.kind = EventKind::list_copy;
@@ -29,7 +69,7 @@
   const std::vector<Action>& tell(const Event& event) override {
     Fake::tell(event);
     if (shadow) {
-      shadow->follow(now, {event}, last);
+      shadow->follow(now, {typed(event)}, typed(last));
     }
     for (const Action& action : last) {
       actions += std::to_string(static_cast<int>(action.kind)) + " " + action.id + " " + action.host + " " +
@@ -104,8 +144,8 @@
   }
   std::uint64_t differences() const {
     const ShadowCounts& counts = shadow->counts();
-    return counts.other_host + counts.would_turn + counts.would_try + counts.would_wait + counts.would_move +
-           counts.would_leave;
+    return counts.other_endpoint + counts.would_reject + counts.would_attempt + counts.would_wait +
+           counts.would_migrate + counts.would_stay;
   }
 };
 
@@ -115,20 +155,16 @@
   ~File() { std::remove(path.c_str()); }
 };
 
-std::string opening() {
-  return "OPEN 5a1 2e c=plain,t=x,d=2000,g=3d\r\n";
-}
-
 }  // namespace
 
 TEST(Shadow, TheSameSettingsDecideTheSameOverAWholeDay) {
   Watched fleet;
   fleet.begin(6, fleet.settings);
   fleet.day();
-  EXPECT_FALSE(fleet.shadow->off()) << fleet.shadow->why();
-  EXPECT_EQ(fleet.differences(), 0u) << fleet.shadow->counts().told();
+  EXPECT_FALSE(fleet.shadow->stopped()) << fleet.shadow->error();
+  EXPECT_EQ(fleet.differences(), 0u) << fleet.shadow->counts().format();
   EXPECT_GT(fleet.shadow->counts().same, 100u);
-  EXPECT_EQ(fleet.shadow->counts().probes, fleet.shadow->counts().real_probes);
+  EXPECT_EQ(fleet.shadow->counts().health_checks, fleet.shadow->counts().real_health_checks);
   EXPECT_LT(fleet.shadow->followed(), 90u) << "what has ended is forgotten";
 }
 
@@ -141,18 +177,18 @@
     std::variant<double, std::string> value;
     std::uint64_t ShadowCounts::*kind;
   };
-  for (const Case& one : {Case{"max_tries", 1.0, &ShadowCounts::would_turn},
-                          Case{"message_goal.0", 5000.0, &ShadowCounts::would_leave},
+  for (const Case& one : {Case{"max_tries", 1.0, &ShadowCounts::would_reject},
+                          Case{"message_goal.0", 5000.0, &ShadowCounts::would_stay},
                           Case{"zone", std::string("far"), nullptr}, Case{"report.load", 0.0, nullptr}}) {
     Watched fleet;
     SettingsMap others = fleet.settings;
     others[one.setting] = one.value;
     fleet.begin(6, others);
     fleet.day();
-    EXPECT_FALSE(fleet.shadow->off()) << fleet.shadow->why();
+    EXPECT_FALSE(fleet.shadow->stopped()) << fleet.shadow->error();
     EXPECT_EQ(fleet.actions, alone.actions) << one.setting;
     if (one.kind) {
-      EXPECT_GT(fleet.shadow->counts().*one.kind, 0u) << one.setting << fleet.shadow->counts().told();
+      EXPECT_GT(fleet.shadow->counts().*one.kind, 0u) << one.setting << fleet.shadow->counts().format();
     }
     EXPECT_LT(fleet.shadow->followed(), 90u);
   }
@@ -162,8 +198,8 @@
   strict.settings["max_tries"] = 1.0;
   strict.begin(6, others);
   strict.day();
-  EXPECT_GT(strict.shadow->counts().would_try, 10u) << strict.shadow->counts().told();
-  EXPECT_EQ(strict.shadow->counts().would_turn, 0u);
+  EXPECT_GT(strict.shadow->counts().would_attempt, 10u) << strict.shadow->counts().format();
+  EXPECT_EQ(strict.shadow->counts().would_reject, 0u);
 }
 
 TEST(Shadow, WeightsThatMoveAreReadByTheNewShapeOnly) {
@@ -174,7 +210,7 @@
   fleet.begin(6, others);
   fleet.day();
   const std::uint64_t before =
-      fleet.shadow->counts().other_host;  // a weight at its largest tells of nothing held
+      fleet.shadow->counts().other_endpoint;  // a weight at its largest tells of nothing held
   Event change;
   change.kind = EventKind::list_changes;
   for (int i = 0; i < 6; ++i) {
@@ -183,7 +219,7 @@
   }
   fleet.tell(change);
   fleet.day();
-  EXPECT_GT(fleet.shadow->counts().other_host, before + 10) << fleet.shadow->counts().told();
+  EXPECT_GT(fleet.shadow->counts().other_endpoint, before + 10) << fleet.shadow->counts().format();
 }
 
 TEST(Shadow, ANodeServesAsWithoutItAndCounts) {
@@ -191,7 +227,7 @@
     to.shadow = to.env;
     (*to.shadow)["bounds"]["maxAttempts"] = 1;
   });
-  const int client = net.client(opening());
+  const int client = net.client(request_line());
   for (int i = 0; i < 3; ++i) {
     const int host = net.host_accepts();
     net.read(host);
@@ -203,7 +239,7 @@
   EXPECT_EQ(net.read(client), "UP x\r\n");
   ASSERT_TRUE(net.node->shadow());
   EXPECT_EQ(net.node->shadow()->counts().same, 1u) << "the first try";
-  EXPECT_EQ(net.node->shadow()->counts().would_turn, 1u) << "the second";
+  EXPECT_EQ(net.node->shadow()->counts().would_reject, 1u) << "the second";
   // A reload changes what is watched, or ends it; to begin takes a restart.
   net.told.shadow = net.told.env;
   net.node->reload({net.told, ""});
