--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -13,47 +13,63 @@
 
 class Host {
  public:
-  Inbox inbox;
+  std::vector<EndpointMessage> inbox;
 
   Host(PolicyContext& around, std::string id) : context_(around), id_(std::move(id)) {
     next_probe_ = context_.now +
                   static_cast<Tenths>(context_.random.share() * probe_interval(kProbeEvery, kProbeShared));
   }
 
-  void read(const Note& note) {
-    if (note.topic != Topic::event && note.topic != Topic::unlisted) {
-      fleet_ = note.fleet;
-    }
-    switch (note.topic) {
-      case Topic::listed:
-        listed(note.listing, note.fresh, note.held);
-        break;
-      case Topic::unlisted:
-        leaves(EndpointState::removed);
-        break;
-      case Topic::pulse:
-        climb(), probe(), relieve();
-        break;
-      case Topic::offer:
-        offered(note);
-        break;
-      case Topic::event:
-        happened(note);
-        break;
-      default:
-        return;
-    }
+  void read(const EndpointMessage& message) {
+    std::visit([this](const auto& one) { handle(one); }, message);
     tell();
   }
 
  private:
-  void listed(const EndpointEntry& listing, bool fresh, double held) {
+  void handle(const EndpointListed& message) {
+    fleet_ = message.fleet;
+    listed(message.entry, message.is_new, message.connections);
+  }
+  void handle(const EndpointUnlisted&) { leaves(EndpointState::removed); }
+  void handle(const EndpointTick& message) {
+    fleet_ = message.fleet;
+    climb();
+    probe();
+    relieve();
+  }
+  void handle(const AdmissionRequest& message) {
+    fleet_ = message.candidates.fleet;
+    offered(message.candidates);
+  }
+  void handle(const ConnectionOpened&) { ++card_.open; }
+  void handle(const AttemptSucceeded& message) {
+    setup_at_ = context_.now;
+    result(setups_, message.in_time);
+  }
+  void handle(const AttemptFinished& message) { ended(message.outcome, message.was_established); }
+  void handle(const LatencyObserved& message) { delayed(message.latency); }
+  void handle(const GossipObserved& message) { card_.elsewhere = message.connections_elsewhere.value_or(-1); }
+  void handle(const HealthCheckEnded& message) {
+    looked(message);
+    // Danger: what failed on this machine says nothing of the host.
+    if (message.outcome == Outcome::not_sent) {
+      return;
+    }
+    silent_ = message.outcome == Outcome::timed_out || message.outcome == Outcome::connect_failed;
+    result(probes_, message.outcome == Outcome::succeeded);
+    // Danger: a host without set-ups is never heard well of again. Then good probes count for them too.
+    if (message.outcome == Outcome::succeeded && context_.now - setup_at_ > kQuiet && setups_.share() < 1) {
+      result(setups_, true);
+    }
+  }
+
+  void listed(const EndpointEntry& listing, bool fresh, std::optional<double> held) {
     const bool restarted = listing.started > started_ && known_;
     card_.zone = listing.zone;
     card_.cell = listing.cell, card_.kind = listing.kind;
     card_.size = listing.size > 0 ? listing.size : 1;
-    if (held >= 0) {
-      card_.elsewhere = std::max(0.0, held - card_.open);
+    if (held) {
+      card_.elsewhere = std::max(0.0, *held - card_.open);
     }
     started_ = listing.started;
     if (listing.state != EndpointState::healthy) {
@@ -94,11 +110,11 @@
   bool strained() const { return strained_at_ > 0 && context_.now - strained_at_ < kStrainHeld; }
 
   // The one place that decides whether this host may be sent this attachment.
-  bool may_be_sent(const Event& attachment) const {
+  bool may_be_sent(bool is_mid_connection) const {
     if (state_ != EndpointState::healthy) {
       // A mid-flow connection may be held here; without proof of that only the grace allows it.
       const bool in_grace = context_.now - left_at_ < context_.settings.drain_grace - kPulse;
-      return state_ == EndpointState::draining && attachment.mid_flow && in_grace;
+      return state_ == EndpointState::draining && is_mid_connection && in_grace;
     }
     if (!in_service()) {
       return false;
@@ -108,10 +124,10 @@
     }
     // Danger: a host in time again is filled to where it was late before, and nobody there is served.
     const bool capped = cap_at_ > 0 && context_.now - cap_at_ < kCapHeld;
-    if (capped && !attachment.mid_flow && card_.open >= cap_) {
+    if (capped && !is_mid_connection && card_.open >= cap_) {
       return false;
     }
-    return attachment.mid_flow || !fleet_.crowd_limit || crowd_allows();
+    return is_mid_connection || !fleet_.crowd_limit || crowd_allows();
   }
 
   // Danger: a crowd cut off at one host falls on the next, which then cuts off its own. A host takes only a
@@ -202,89 +218,56 @@
 
   // Danger: at a node that probes a host once in minutes neither signal nor report tells of now. A host whose
   // last probe is older than a steady one would be is probed first; the attachment goes on with the answer.
-  bool looks_first(const Note& note) const {
+  bool looks_first(const CandidateList& candidates) const {
     // An answer that comes after the expiry is none: who has little time left is not held for a look.
-    return !note.event.mid_flow && context_.settings.load_report_index &&
-           note.event.expiry - context_.now > kSecond && note.looks < kLooks && !recent() &&
+    return !candidates.is_mid_connection && context_.settings.load_report_index &&
+           candidates.deadline - context_.now > kSecond && candidates.passed_over < kLooks && !recent() &&
            (probe_out_ || may_be_probed());
   }
   bool recent() const { return context_.now - probed_at_ <= kProbeEvery; }
 
-  void offered(const Note& note) {
-    const bool may = may_be_sent(note.event);
-    if (may && looks_first(note)) {
-      waiting_.push_back(note);
+  void offered(const CandidateList& candidates) {
+    const bool may = may_be_sent(candidates.is_mid_connection);
+    if (may && looks_first(candidates)) {
+      waiting_.push_back(candidates);
       next_probe_ = context_.now;
       return probe();
     }
-    const bool full = recent() && load_ > kFull && note.looks < kLooks;
-    context_.pass_on(note, Part::desk, may && !full ? Topic::taken : Topic::passed).looks += may ? 1 : 0;
-    if (!may || full) {
+    const bool full = recent() && load_ > kFull && candidates.passed_over < kLooks;
+    if (may && !full) {
+      context_.post_to_request_table(Admitted{candidates.request_id, id_});
+      sends(1);
+      ++card_.open;
       return;
     }
-    sends(1), ++card_.open;
+    Declined declined{candidates};
+    declined.candidates.passed_over += may ? 1 : 0;
+    context_.post_to_request_table(std::move(declined));
   }
 
-  void looked(const Event& event) {
+  void looked(const HealthCheckEnded& event) {
     probe_out_ = false, probed_at_ = context_.now;
     const std::optional<std::size_t> at = context_.settings.load_report_index;
     const bool told = at && *at < event.report.size();
     load_ = card_.load = told ? event.report[*at] : -1;
     card_.roomy = told && load_ < kFull ? context_.now + kProbeEvery : 0;
-    for (Note& note : std::exchange(waiting_, {})) {
+    for (CandidateList& candidates : std::exchange(waiting_, {})) {
       if (event.outcome != Outcome::succeeded) {
-        ++note.looks;
+        ++candidates.passed_over;
       } else {
-        --note.asked;  // asked once more
+        --candidates.asked;  // asked once more
       }
-      context_.pass_on(note, Part::desk, Topic::passed);
-    }
-  }
-
-  void happened(const Note& note) {
-    const Event& event = note.event;
-    switch (event.kind) {
-      case EventKind::handed_over:
-        ++card_.open;
-        break;
-      case EventKind::established:
-        setup_at_ = context_.now;
-        result(setups_, event.took <= event.expiry);  // the desk puts the longest good set-up time there
-        break;
-      case EventKind::try_ended:
-        ended(event, note.standing);
-        break;
-      case EventKind::delay_told:
-        delayed(event.figure);
-        break;
-      case EventKind::peer_word:
-        card_.elsewhere = event.figure;
-        break;
-      case EventKind::probe_ended:
-        looked(event);
-        // Danger: what failed on this machine says nothing of the host.
-        if (event.outcome == Outcome::not_sent) {
-          break;
-        }
-        silent_ = event.outcome == Outcome::timed_out || event.outcome == Outcome::connect_failed;
-        result(probes_, event.outcome == Outcome::succeeded);
-        // Danger: a host without set-ups is never heard well of again. Then good probes count for them too.
-        if (event.outcome == Outcome::succeeded && context_.now - setup_at_ > kQuiet && setups_.share() < 1) {
-          result(setups_, true);
-        }
-        break;
-      default:
-        break;
-    }
-  }
-
-  void ended(const Event& event, bool standing) {
-    if (standing && event.outcome == Outcome::connection_lost) {
+      context_.post_to_request_table(Declined{std::move(candidates)});
+    }
+  }
+
+  void ended(Outcome outcome, bool standing) {
+    if (standing && outcome == Outcome::connection_lost) {
       shed_at_ = context_.now;
     }
     card_.open = std::max(0, card_.open - 1);
-    if (event.outcome == Outcome::succeeded || event.outcome == Outcome::cancelled ||
-        event.outcome == Outcome::not_sent || event.outcome == Outcome::withdrawn) {
+    if (outcome == Outcome::succeeded || outcome == Outcome::cancelled || outcome == Outcome::not_sent ||
+        outcome == Outcome::withdrawn) {
       return;  // says nothing of the host
     }
     setup_at_ = context_.now;
@@ -329,11 +312,14 @@
       return;
     }
     next_relief_ = context_.now + (dead() ? kPulse : kRelief);
-    Note& note = context_.write(Part::desk, Topic::evict, id_);
     const Tenths steps = (context_.now - relief_since_) / kRelief + 1;
-    note.leaving = !in_service();
-    note.part = dead() ? 1 : 1 - std::pow(1 - kReliefShare, steps);
-    note.fleet = fleet_;
+    MigrateConnections message;
+    message.endpoint = id_;
+    message.share = dead() ? 1 : 1 - std::pow(1 - kReliefShare, steps);
+    message.budget = fleet_.spare;
+    message.whole_groups = fleet_.each >= kOverBy;
+    message.endpoint_is_leaving = !in_service();
+    context_.post_to_request_table(std::move(message));
     if (!begins) {
       return;
     }
@@ -407,7 +393,7 @@
     const Tenths steady = std::max(fleet_.watch, probe_interval(kProbeEvery, kProbeShared));
     next_probe_ = context_.now + (in_doubt() ? probe_interval(kProbeHurry, kHurryShared) : steady);
     sends(kProbeWork);
-    context_.act(ActionKind::probe, "", id_);
+    context_.act(CheckHealth{id_});
   }
 
   void tell() {
@@ -426,7 +412,7 @@
     if (told_ == card_) {
       return;
     }
-    context_.write(Part::roster, Topic::card, id_).card = card_;
+    context_.post_to_endpoint_set(StatusChanged{id_, card_});
     if (told_) {
       told_->due = card_.due;
     }
@@ -434,7 +420,7 @@
       return;  // when it is due concerns the roster alone
     }
     told_ = card_;
-    context_.write(Part::ring, Topic::card, id_).card = card_;
+    context_.post_to_selector(StatusChanged{id_, card_});
   }
 
   PolicyContext& context_;
@@ -455,8 +441,8 @@
   int cap_ = 0;             // what it held when it was last late
   double inherited_ = 100;  // a new host starts at the others' mean
   Tenths probed_at_ = -kNever;
-  double load_ = -1;           // over capacity, as last reported
-  std::vector<Note> waiting_;  // offers that wait for a probe
+  double load_ = -1;                    // over capacity, as last reported
+  std::vector<CandidateList> waiting_;  // offers that wait for a probe
   std::deque<Tenths> flaps_;
   std::deque<std::pair<Tenths, double>> sent_;
 };
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -13,91 +13,97 @@
 // Follows the list and says when the weights are frozen.
 class EndpointSet {
  public:
-  Inbox inbox;
   explicit EndpointSet(PolicyContext& around) : context_(around) {}
 
-  void read(const Note& note) {
-    if (note.topic == Topic::card) {
-      heard(note.host, note.card);
-    }
-    if (note.topic == Topic::event) {
-      list(note.event);
-    }
-    if (note.topic == Topic::pulse) {
-      pulse();
-    }
-    if (note.topic == Topic::seek) {
-      sought_.emplace_back(context_.now, note.event.group);
-      if (note.hosts.empty()) {
-        keep_last(came_, context_.now, kTimes);
-      }
-      FleetStatistics fleet = figures();
-      if (note.event.group) {
-        for (const auto& [when, group] : sought_) {
-          fleet.sought_alike += group == note.event.group;
-        }
-      }
-      context_.pass_on(note, Part::ring, Topic::seek).fleet = fleet;
-    }
+  void read(const EndpointSetMessage& message) {
+    std::visit([this](const auto& one) { handle(one); }, message);
     set_alarm();
   }
 
  private:
-  void list(const Event& event) {
-    if (event.kind == EventKind::stopping) {
-      return void(stopped_at_ = context_.now);
+  void handle(const EndpointsCached& message) {
+    list(message.endpoints);
+    ask_at_ = context_.now + backoff().first(context_.random.share());
+    ask();
+  }
+  void handle(const EndpointsSnapshot& message) {
+    losses_ = 0;
+    lost_at_ = 0;
+    list(message.endpoints);
+  }
+  void handle(const EndpointsUpdate& message) {
+    losses_ = 0;
+    lost_at_ = 0;
+    list_changes(message.endpoints);
+  }
+  void handle(const EndpointWatchFailed&) {
+    ++losses_;
+    subscribed_ = false;
+    if (lost_at_ == 0) {
+      lost_at_ = context_.now;
     }
-    if (event.kind == EventKind::list_lost) {
-      ++losses_, subscribed_ = false;
-      if (lost_at_ == 0) {
-        lost_at_ = context_.now;
+    ask_at_ = context_.now + backoff().again(losses_, context_.random.share());
+  }
+  void handle(const ShutdownStarted&) { stopped_at_ = context_.now; }
+  void handle(const TimerFired&) { pulse(); }
+  void handle(const StatusChanged& message) { heard(message.endpoint, message.status); }
+  void handle(const SelectEndpoints& message) {
+    const std::optional<std::int64_t>& group = message.query->request.affinity_group;
+    sought_.emplace_back(context_.now, group);
+    if (message.query->tried.empty()) {
+      keep_last(came_, context_.now, kTimes);
+    }
+    SelectEndpoints completed{message.query, figures()};
+    if (group) {
+      for (const auto& [when, other] : sought_) {
+        completed.fleet.sought_alike += group == other;
       }
-      ask_at_ = context_.now + backoff().again(losses_, context_.random.share());
-      return;
-    }
-    if (event.kind != EventKind::list_copy) {
-      losses_ = 0, lost_at_ = 0;
     }
+    context_.post_to_selector(std::move(completed));
+  }
+
+  void list(const std::vector<EndpointEntry>& entries) {
     std::set<std::string> named;
-    const FleetStatistics fleet = figures();
-    for (const EndpointEntry& listing : event.listings) {
-      named.insert(listing.host);
-      Note& note = context_.write(Part::host, Topic::listed, listing.host);
-      note.listing = listing;
-      note.fleet = fleet;
-      if (context_.settings.weights_follow_load) {
-        weigh(note);
+    for (const EndpointEntry& entry : entries) {
+      named.insert(entry.host);
+    }
+    const std::set<std::string> before = listed_;
+    list_changes(entries);
+    for (const std::string& host : before) {
+      if (!named.count(host)) {
+        context_.post_to_endpoint(host, EndpointUnlisted{});
       }
-      note.fresh = started_ && !listed_.count(listing.host);
     }
-    if (event.kind != EventKind::list_changes) {
-      for (const std::string& host : listed_) {
-        if (!named.count(host)) {
-          context_.write(Part::host, Topic::unlisted, host);
-        }
+  }
+
+  void list_changes(const std::vector<EndpointEntry>& entries) {
+    const FleetStatistics fleet = figures();
+    std::vector<std::string> named;
+    for (const EndpointEntry& entry : entries) {
+      EndpointListed message{entry, fleet, std::nullopt, started_ && !listed_.count(entry.host)};
+      if (context_.settings.weights_follow_load) {
+        weigh(message);
       }
+      named.push_back(entry.host);
+      context_.post_to_endpoint(entry.host, std::move(message));
     }
     listed_.insert(named.begin(), named.end());
     if (!std::exchange(started_, true)) {
       came_.push_back(context_.now);
     }
-    if (event.kind != EventKind::list_copy) {
-      return;
-    }
-    ask_at_ = context_.now + backoff().first(context_.random.share());
-    ask();
   }
 
   // Danger: a weight that sinks as a host fills sends all nodes to whoever was empty a second ago. A host's
   // size is the largest seen of its kind; what the weight lacks of it tells what all nodes hold there.
-  void weigh(Note& note) {
-    double& largest = largest_[note.listing.kind];
-    largest = std::max(largest, note.listing.size);
-    if (note.listing.size > 0) {
-      note.held = largest * (largest / note.listing.size - 1);
+  void weigh(EndpointListed& message) {
+    EndpointEntry& entry = message.entry;
+    double& largest = largest_[entry.kind];
+    largest = std::max(largest, entry.size);
+    if (entry.size > 0) {
+      message.connections = largest * (largest / entry.size - 1);
     }
     if (largest > 0) {
-      note.listing.size = largest;
+      entry.size = largest;
     }
   }
 
@@ -113,7 +119,7 @@
       return;
     }
     subscribed_ = true;
-    context_.act(ActionKind::subscribe, "", "");
+    context_.act(WatchEndpoints{});
   }
 
   void heard(const std::string& host, const EndpointStatus& card) {
@@ -153,7 +159,7 @@
       return;
     }
     alarm_at_ = due;
-    context_.act(ActionKind::set_alarm, "", "", 0, due - context_.now);
+    context_.act(SetTimer{0, due - context_.now});
   }
 
   void pulse() {
@@ -161,13 +167,15 @@
     ask();
     // Danger: moved at once, clients come back to this node while the front still deals to it, and in step.
     if (stopped_at_ > 0 && context_.now - stopped_at_ >= kFrontStops) {
-      Note& all = context_.write(Part::desk, Topic::evict);
-      all.part = static_cast<double>(context_.now - stopped_at_ - kFrontStops) / kSecond;
-      all.fleet.spare = INT32_MAX;
+      MigrateConnections all;
+      all.share = static_cast<double>(context_.now - stopped_at_ - kFrontStops) / kSecond;
+      all.budget = INT32_MAX;
+      all.whole_groups = true;
+      context_.post_to_request_table(std::move(all));
     }
     const FleetStatistics fleet = figures();
     for (auto at = due_.begin(); at != due_.end() && at->first <= context_.now; ++at) {
-      context_.write(Part::host, Topic::pulse, at->second).fleet = fleet;
+      context_.post_to_endpoint(at->second, EndpointTick{fleet});
     }
   }
 
@@ -281,7 +289,7 @@
     if (fleet.frozen != frozen_) {
       context_.log(std::string("weights ") + (fleet.frozen ? "frozen" : "free") + ", degraded " +
                    std::to_string(bad) + " of " + std::to_string(hosts) + (silent() ? ", list silent" : ""));
-      context_.write(Part::ring, Topic::fleet).fleet = fleet;
+      context_.post_to_selector(WeightsFreezeChanged{fleet.frozen});
     }
     frozen_ = fleet.frozen;
     return fleet;
--- a/src/policy/flat_words.cpp
+++ b/src/policy/flat_words.cpp
@@ -14,31 +14,18 @@
 template <class... Visitors>
 Overloaded(Visitors...) -> Overloaded<Visitors...>;
 
-Event of(EventKind kind, const std::string& id = "", const std::string& host = "") {
-  Event flat;
-  flat.kind = kind;
-  flat.id = id;
-  flat.host = host;
-  return flat;
-}
-
-Event of_list(EventKind kind, const std::vector<EndpointEntry>& endpoints) {
-  Event flat = of(kind);
-  flat.listings = endpoints;
-  return flat;
-}
-
-Event of_request(EventKind kind, const RequestAttributes& request) {
-  Event flat = of(kind, request.id);
-  flat.traffic_type = request.traffic_type;
-  flat.tenant = request.tenant;
-  flat.key = request.client_key;
-  flat.group = request.affinity_group;
-  flat.expiry = request.deadline;
-  flat.mid_flow = request.is_mid_connection;
-  flat.returned = request.is_migrated;
-  flat.repeated = request.is_retry;
-  return flat;
+RequestAttributes request_of(const Event& event) {
+  RequestAttributes to;
+  to.id = event.id;
+  to.traffic_type = event.traffic_type;
+  to.tenant = event.tenant;
+  to.client_key = event.key;
+  to.affinity_group = event.group;
+  to.deadline = event.expiry;
+  to.is_mid_connection = event.mid_flow;
+  to.is_migrated = event.returned;
+  to.is_retry = event.repeated;
+  return to;
 }
 
 std::optional<Duration> time_at(const SettingsMap& from, const std::string& name) {
@@ -67,98 +54,66 @@
 
 }  // namespace
 
-Event to_flat(const PolicyEvent& event) {
-  return std::visit(
-      Overloaded{[](const EndpointsCached& e) { return of_list(EventKind::list_copy, e.endpoints); },
-                 [](const EndpointsSnapshot& e) { return of_list(EventKind::list_whole, e.endpoints); },
-                 [](const EndpointsUpdate& e) { return of_list(EventKind::list_changes, e.endpoints); },
-                 [](const EndpointWatchFailed&) { return of(EventKind::list_lost); },
-                 [](const ShutdownStarted& e) {
-                   Event flat = of(EventKind::stopping);
-                   flat.expiry = e.answer_by;
-                   return flat;
-                 },
-                 [](const RequestReceived& e) { return of_request(EventKind::attachment, e.request); },
-                 [](const ConnectionAdopted& e) {
-                   Event flat = of_request(EventKind::handed_over, e.request);
-                   flat.host = e.endpoint;
-                   flat.pending = e.is_pending;
-                   return flat;
-                 },
-                 [](const AttemptEstablished& e) {
-                   Event flat = of(EventKind::established, e.request_id, e.endpoint);
-                   flat.number = e.attempt;
-                   flat.took = e.setup_time;
-                   return flat;
-                 },
-                 [](const AttemptEnded& e) {
-                   Event flat = of(EventKind::try_ended, e.request_id, e.endpoint);
-                   flat.number = e.attempt;
-                   flat.outcome = e.outcome;
-                   flat.took = e.duration;
-                   flat.final = e.is_final;
-                   return flat;
-                 },
-                 [](const LoadReported& e) {
-                   Event flat = of(EventKind::load_told, e.request_id, e.endpoint);
-                   flat.figure = e.work;
-                   return flat;
-                 },
-                 [](const LatencyReported& e) {
-                   Event flat = of(EventKind::delay_told, e.request_id, e.endpoint);
-                   flat.figure = e.latency;
-                   return flat;
-                 },
-                 [](const RequestStalled& e) {
-                   Event flat = of(EventKind::unanswered, e.request_id, e.endpoint);
-                   flat.figure = static_cast<double>(e.unanswered_for);
-                   return flat;
-                 },
-                 [](const ClientDisconnected& e) { return of(EventKind::client_left, e.request_id); },
-                 [](const TimerFired& e) {
-                   Event flat = of(EventKind::alarm);
-                   flat.number = e.timer;
-                   return flat;
-                 },
-                 [](const HealthCheckEnded& e) {
-                   Event flat = of(EventKind::probe_ended, "", e.endpoint);
-                   flat.outcome = e.outcome;
-                   flat.took = e.duration;
-                   flat.report = e.report;
-                   return flat;
-                 },
-                 [](const GossipReceived& e) {
-                   Event flat = of(EventKind::peer_word, "", e.endpoint);
-                   flat.figure = e.connections_elsewhere.value_or(-1);
-                   return flat;
-                 }},
-      event);
-}
-
-PolicyAction from_flat(const Action& action) {
-  switch (action.kind) {
-    case ActionKind::setup_try:
-      return StartAttempt{action.id, action.host, action.time};
-    case ActionKind::cancel_try:
-      return CancelAttempt{action.id, action.number};
-    case ActionKind::reject:
-      return RejectRequest{action.id, action.time};
-    case ActionKind::scrap:
-      return FailRequest{action.id};
-    case ActionKind::move:
-      return MigrateConnection{action.id, action.host};
-    case ActionKind::probe:
-      return CheckHealth{action.host};
-    case ActionKind::set_alarm:
-      return SetTimer{action.number, action.time};
-    case ActionKind::subscribe:
-      return WatchEndpoints{};
-    case ActionKind::fetch_list:
-      return FetchEndpoints{};
-    case ActionKind::log:
+PolicyEvent from_flat(const Event& event) {
+  switch (event.kind) {
+    case EventKind::list_copy:
+      return EndpointsCached{event.listings};
+    case EventKind::list_whole:
+      return EndpointsSnapshot{event.listings};
+    case EventKind::list_changes:
+      return EndpointsUpdate{event.listings};
+    case EventKind::list_lost:
+      return EndpointWatchFailed{};
+    case EventKind::stopping:
+      return ShutdownStarted{event.expiry};
+    case EventKind::attachment:
+      return RequestReceived{request_of(event)};
+    case EventKind::handed_over:
+      return ConnectionAdopted{request_of(event), event.host, event.pending};
+    case EventKind::established:
+      return AttemptEstablished{event.id, event.host, event.number, event.took};
+    case EventKind::load_told:
+      return LoadReported{event.id, event.host, event.figure};
+    case EventKind::delay_told:
+      return LatencyReported{event.id, event.host, event.figure};
+    case EventKind::unanswered:
+      return RequestStalled{event.id, event.host, static_cast<Duration>(event.figure)};
+    case EventKind::try_ended:
+      return AttemptEnded{event.id, event.host, event.number, event.outcome, event.took, event.final};
+    case EventKind::client_left:
+      return ClientDisconnected{event.id};
+    case EventKind::alarm:
+      return TimerFired{event.number};
+    case EventKind::probe_ended:
+      return HealthCheckEnded{event.host, event.outcome, event.took, event.report};
+    case EventKind::peer_word:
       break;
   }
-  return LogMessage{action.text};
+  return GossipReceived{event.host, event.figure < 0 ? std::nullopt : std::optional(event.figure)};
+}
+
+Action to_flat(const PolicyAction& action) {
+  return std::visit(
+      Overloaded{
+          [](const StartAttempt& a) {
+            return Action{ActionKind::setup_try, a.request_id, a.endpoint, "", 0, a.timeout};
+          },
+          [](const CancelAttempt& a) {
+            return Action{ActionKind::cancel_try, a.request_id, "", "", a.attempt, 0};
+          },
+          [](const RejectRequest& a) {
+            return Action{ActionKind::reject, a.request_id, "", "", 0, a.retry_after};
+          },
+          [](const FailRequest& a) { return Action{ActionKind::scrap, a.request_id, "", "", 0, 0}; },
+          [](const MigrateConnection& a) {
+            return Action{ActionKind::move, a.request_id, a.endpoint, "", 0, 0};
+          },
+          [](const CheckHealth& a) { return Action{ActionKind::probe, "", a.endpoint, "", 0, 0}; },
+          [](const SetTimer& a) { return Action{ActionKind::set_alarm, "", "", "", a.timer, a.delay}; },
+          [](const WatchEndpoints&) { return Action{ActionKind::subscribe, "", "", "", 0, 0}; },
+          [](const FetchEndpoints&) { return Action{ActionKind::fetch_list, "", "", "", 0, 0}; },
+          [](const LogMessage& a) { return Action{ActionKind::log, "", "", a.text, 0, 0}; }},
+      action);
 }
 
 Settings settings_from_map(const SettingsMap& from) {
--- a/src/policy/flat_words.h
+++ b/src/policy/flat_words.h
@@ -8,8 +8,8 @@
 
 namespace dapplewharf {
 
-Event to_flat(const PolicyEvent& event);
-PolicyAction from_flat(const Action& action);
+PolicyEvent from_flat(const Event& event);
+Action to_flat(const PolicyAction& action);
 Settings settings_from_map(const SettingsMap& from);
 
 }  // namespace dapplewharf
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -4,7 +4,9 @@
 #include "policy/load_balancer.h"
 
 #include <algorithm>
+#include <map>
 #include <utility>
+#include <variant>
 
 #include "policy/endpoint.h"
 #include "policy/endpoint_selector.h"
@@ -16,84 +18,99 @@
 namespace dapplewharf {
 
 struct LoadBalancer::Parts {
-  PolicyContext around;
-  EndpointSet roster;
-  EndpointSelector ring;
-  RequestTable desk;
-  std::map<std::string, Host> hosts;
-  std::vector<std::pair<const std::string, Host>*> stirred;  // hosts with notes in their inbox
+  PolicyContext context;
+  EndpointSet endpoint_set;
+  EndpointSelector selector;
+  RequestTable request_table;
+  std::map<std::string, Host> endpoints;
+  std::vector<std::pair<const std::string, Host>*> with_messages;  // endpoints whose inbox is not empty
 
-  Parts(Settings settings, std::uint64_t seed, Tenths now)
-      : around{std::move(settings), RandomGenerator(seed), now, {}, {}},
-        roster(around),
-        ring(around),
-        desk(around) {}
+  Parts(Settings settings, std::uint64_t seed, TimePoint now)
+      : context{std::move(settings), RandomGenerator(seed), now},
+        endpoint_set(context),
+        selector(context),
+        request_table(context) {}
 
-  void deliver(const Event& event) {
-    if (event.kind == EventKind::stopping) {
-      around.write(Part::desk, Topic::event).event = event;
-    }
-    if (event.kind <= EventKind::stopping) {
-      around.write(Part::roster, Topic::event).event = event;
-    } else if (event.id.empty() && !event.host.empty()) {  // of a probe, or a delay where nothing stands
-      around.write(Part::host, Topic::event, event.host).event = event;
-    } else if (event.kind == EventKind::alarm) {
-      around.write(Part::roster, Topic::pulse);
-    } else if (event.kind != EventKind::peer_word) {
-      around.write(Part::desk, Topic::event).event = event;
+  // Which part of the policy an event concerns.
+  void route(const EndpointsCached& event) { context.post_to_endpoint_set(event); }
+  void route(const EndpointsSnapshot& event) { context.post_to_endpoint_set(event); }
+  void route(const EndpointsUpdate& event) { context.post_to_endpoint_set(event); }
+  void route(const EndpointWatchFailed& event) { context.post_to_endpoint_set(event); }
+  void route(const TimerFired& event) { context.post_to_endpoint_set(event); }
+  void route(const ShutdownStarted& event) {
+    context.post_to_request_table(event);
+    context.post_to_endpoint_set(event);
+  }
+  void route(const RequestReceived& event) { context.post_to_request_table(event); }
+  void route(const ConnectionAdopted& event) { context.post_to_request_table(event); }
+  void route(const AttemptEstablished& event) { context.post_to_request_table(event); }
+  void route(const AttemptEnded& event) { context.post_to_request_table(event); }
+  void route(const LoadReported& event) { context.post_to_request_table(event); }
+  void route(const RequestStalled& event) { context.post_to_request_table(event); }
+  void route(const ClientDisconnected& event) { context.post_to_request_table(event); }
+  void route(const LatencyReported& event) {
+    if (event.request_id.empty()) {
+      context.post_to_endpoint(event.endpoint, LatencyObserved{event.latency});
+    } else {
+      context.post_to_request_table(event);
     }
-    settle();
+  }
+  void route(const HealthCheckEnded& event) { context.post_to_endpoint(event.endpoint, event); }
+  void route(const GossipReceived& event) {
+    context.post_to_endpoint(event.endpoint, GossipObserved{event.connections_elsewhere});
+  }
+
+  void handle(const PolicyEvent& event) {
+    std::visit([this](const auto& one) { route(one); }, event);
+    process_messages();
   }
 
-  template <class Actor>
-  bool empty(Actor& actor) {
-    const bool any = !actor.inbox.empty();
-    for (const Note* note : actor.inbox) {
-      actor.read(*note);  // reading posts, and never to an inbox
+  // Lets one part read its inbox; returns whether there was anything in it. Reading posts messages, but never
+  // into an inbox.
+  template <class Part, class Message>
+  static bool read_all(Part& part, std::vector<Message>& inbox) {
+    const bool any = !inbox.empty();
+    for (const Message& message : inbox) {
+      part.read(message);
     }
-    actor.inbox.clear();
+    inbox.clear();
     return any;
   }
 
-  void sort_post() {
-    while (const Note* note = around.post.next()) {
-      if (note->to == Part::roster) {
-        roster.inbox.push_back(note);
-      } else if (note->to == Part::ring) {
-        ring.inbox.push_back(note);
-      } else if (note->to == Part::desk) {
-        desk.inbox.push_back(note);
-      } else {
-        auto found = hosts.find(note->host);
-        if (found == hosts.end() && note->topic == Topic::listed) {
-          found = hosts.try_emplace(note->host, around, note->host).first;
-        }
-        if (found == hosts.end()) {
-          continue;
-        }
-        if (found->second.inbox.empty()) {
-          stirred.push_back(&*found);
-        }
-        found->second.inbox.push_back(note);
+  void deliver() {
+    context.endpoint_set.deliver();
+    context.selector.deliver();
+    context.request_table.deliver();
+    for (auto& [id, message] : std::exchange(context.posted_to_endpoints, {})) {
+      auto found = endpoints.find(id);
+      if (found == endpoints.end() && std::holds_alternative<EndpointListed>(message)) {
+        found = endpoints.try_emplace(id, context, id).first;
+      }
+      if (found == endpoints.end()) {
+        continue;
       }
+      if (found->second.inbox.empty()) {
+        with_messages.push_back(&*found);
+      }
+      found->second.inbox.push_back(std::move(message));
     }
   }
 
-  // The one loop: empties the inboxes, always in the same order, until no note is left.
-  void settle() {
+  // The message loop: empties the inboxes, always in the same order, until no message is left.
+  void process_messages() {
     for (bool any = true; any;) {
-      sort_post();
-      any = empty(roster);
-      std::sort(stirred.begin(), stirred.end(), [](auto* a, auto* b) { return a->first < b->first; });
-      for (auto* host : stirred) {
-        any = empty(host->second) || any;
+      deliver();
+      any = read_all(endpoint_set, context.endpoint_set.inbox);
+      std::sort(with_messages.begin(), with_messages.end(),
+                [](auto* a, auto* b) { return a->first < b->first; });
+      for (auto* endpoint : with_messages) {
+        any = read_all(endpoint->second, endpoint->second.inbox) || any;
       }
-      stirred.clear();
-      sort_post();
-      any = empty(ring) || any;
-      any = empty(desk) || any;
+      with_messages.clear();
+      deliver();
+      any = read_all(selector, context.selector.inbox) || any;
+      any = read_all(request_table, context.request_table.inbox) || any;
     }
-    around.post.all_read();
   }
 };
 
@@ -104,28 +121,28 @@
 LoadBalancer::~LoadBalancer() = default;
 
 void LoadBalancer::update_settings(Settings settings) {
-  parts_->around.settings = std::move(settings);
+  parts_->context.settings = std::move(settings);
 }
 void LoadBalancer::update_settings(const SettingsMap& settings) {
   update_settings(settings_from_map(settings));
 }
 
-std::vector<Action> LoadBalancer::handle_events(TimePoint now, const std::vector<Event>& events) {
-  parts_->around.now = std::max(now, parts_->around.now);
-  for (const Event& event : events) {
-    parts_->deliver(event);
+std::vector<PolicyAction> LoadBalancer::handle_events(TimePoint now, const std::vector<PolicyEvent>& events) {
+  parts_->context.now = std::max(now, parts_->context.now);
+  for (const PolicyEvent& event : events) {
+    parts_->handle(event);
   }
-  return std::exchange(parts_->around.actions, {});
+  return std::exchange(parts_->context.actions, {});
 }
 
-std::vector<PolicyAction> LoadBalancer::handle_events(TimePoint now, const std::vector<PolicyEvent>& events) {
-  std::vector<Event> flat;
-  for (const PolicyEvent& event : events) {
-    flat.push_back(to_flat(event));
+std::vector<Action> LoadBalancer::handle_events(TimePoint now, const std::vector<Event>& events) {
+  std::vector<PolicyEvent> typed;
+  for (const Event& event : events) {
+    typed.push_back(from_flat(event));
   }
-  std::vector<PolicyAction> actions;
-  for (const Action& action : handle_events(now, flat)) {
-    actions.push_back(from_flat(action));
+  std::vector<Action> actions;
+  for (const PolicyAction& action : handle_events(now, typed)) {
+    actions.push_back(to_flat(action));
   }
   return actions;
 }
--- a/src/policy/messages.h
+++ b/src/policy/messages.h
@@ -1,17 +1,24 @@
-// The messages that the parts of the policy post to each other, and what all parts may use. No decisions.
+// The messages that the parts of the policy (EndpointSet, Endpoint, EndpointSelector, RequestTable) post to
+// each other: one small struct for each kind, a variant for each addressee. Also the context that all parts
+// share: the clock, the settings, the random generator, the mailboxes and the actions decided so far. No
+// decisions.
 #pragma once
 #include <algorithm>
-#include <deque>
+#include <cstdint>
+#include <iterator>
+#include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <utility>
+#include <variant>
 #include <vector>
 
 #include "base/random.h"
-#include "policy/notes.h"
+#include "policy/actions.h"
+#include "policy/events.h"
 #include "policy/settings.h"
-#include "policy/words.h"
 
 namespace dapplewharf {
 
@@ -55,98 +62,164 @@
   double granted = 0;  // open connections for a size of 1 that the tenants' shares allow, of all nodes
 };
 
-enum class Part { roster, ring, desk, host };
-enum class Topic { event, listed, unlisted, pulse, card, fleet, seek, route, offer, taken, passed, evict };
+// --- to an endpoint ---
 
-struct Note {
-  Part to = Part::desk;
-  Topic topic = Topic::event;
-  std::string host;  // which host it goes to, or is about
-  Event event;       // the event that it hands on, if any; its id names the attachment
-  EndpointEntry listing;
-  EndpointStatus card;
+/// The endpoint list names this endpoint.
+struct EndpointListed {
+  EndpointEntry entry;
   FleetStatistics fleet;
-  std::vector<std::string> hosts;                         // of a seek: those tried already
-  std::shared_ptr<const std::vector<std::string>> order;  // of a route: the hosts, as they are to be asked,
-  std::size_t asked = 0;                                  // and how many of them were
-  std::set<std::string> homes;                            // of a seek: the hosts that hold some of its group
-  int members = 0;  // of a seek: connections of its group that stand here
-  DeduplicationScope within =
-      DeduplicationScope::cell;  // of a seek: around `host`, where repeats are dropped
-  int looks = 0;                 // of an offer: hosts that were looked at for it and passed
-  double part = 0;               // of an eviction: the part of the host's groups that is to go
-  bool standing = false;         // of a result: the connection had been established
-  bool leaving = false;          // of an eviction: the host drains or is gone
-  bool shortage = false;         // of a seek: some attachment found no host a moment ago
-  double held = -1;              // of a listing: what its host holds, as the weight tells; below 0: untold
-  bool fresh = false;            // of a listing: new to a list that was known
-};
-
-// What the desk keeps of an attachment, and the ring of its points.
-struct Attempt {
-  std::string host;
-  Tenths sent = 0;
-  bool out = true;  // its result has not come
-  bool may_have_run = true;
-};
-struct Request {
-  Event event;
-  RepeatRule repeat_rule;
-  std::vector<Attempt> tries;
-  bool standing = false;  // the connection is open
-  bool answered = false;  // ended; kept until its last try's result has come
-  bool pending = false;   // handed over, and not up again yet
-};
-
-// Notes in the order they came; whose they are says Post.
-using Inbox = std::vector<const Note*>;
-
-// Owns the notes of one event and what follows from it, and hands out the same sheets again for the next: a
-// note stays where it is until then, and costs no memory once a node has run a while.
-class Post {
- public:
-  Note& fresh() {
-    if (used_ == sheets_.size()) {
-      sheets_.push_back(std::make_unique<Note>());
-    } else {
-      *sheets_[used_] = blank_;
-    }
-    return *sheets_[used_++];
-  }
-  Note* next() { return sorted_ < used_ ? sheets_[sorted_++].get() : nullptr; }
-  void all_read() { used_ = sorted_ = 0; }
+  std::optional<double> connections;  // of all nodes, as its weight tells; nothing: untold
+  bool is_new = false;                // to a list that was known before
+};
+
+/// The complete endpoint list does not name this endpoint any more.
+struct EndpointUnlisted {};
+
+/// Something that this endpoint wanted to be woken for may be due.
+struct EndpointTick {
+  FleetStatistics fleet;
+};
+
+/// The endpoints that may take a request, and how far they have been asked.
+struct CandidateList {
+  std::string request_id;
+  TimePoint deadline = 0;
+  bool is_mid_connection = false;
+  std::shared_ptr<const std::vector<std::string>> endpoints;  // in the order in which they are asked
+  std::size_t asked = 0;                                      // so many of them were
+  int passed_over = 0;                                        // so many were checked and passed
+  FleetStatistics fleet;
+};
+
+/// May this endpoint take the request? Answered with Admitted or Declined.
+struct AdmissionRequest {
+  CandidateList candidates;
+};
+
+/// A connection from before this node's start stands here.
+struct ConnectionOpened {};
+
+/// An attempt here has become an established connection.
+struct AttemptSucceeded {
+  bool in_time = true;
+};
+
+/// An attempt here, or the connection that it became, has ended.
+struct AttemptFinished {
+  Outcome outcome = Outcome::succeeded;
+  bool was_established = false;
+};
+
+/// How long messages take here, in ticks of 0.1 ms with fractions.
+struct LatencyObserved {
+  double latency = 0;
+};
+
+/// What other nodes hold here.
+struct GossipObserved {
+  std::optional<double> connections_elsewhere;
+};
+
+using EndpointMessage =
+    std::variant<EndpointListed, EndpointUnlisted, EndpointTick, AdmissionRequest, ConnectionOpened,
+                 AttemptSucceeded, AttemptFinished, LatencyObserved, GossipObserved, HealthCheckEnded>;
+
+// --- to the endpoint set and the selector ---
 
- private:
-  const Note blank_{};
-  std::vector<std::unique_ptr<Note>> sheets_;
-  std::size_t used_ = 0, sorted_ = 0;
+/// An endpoint's status has changed.
+struct StatusChanged {
+  std::string endpoint;
+  EndpointStatus status;
 };
 
-struct PolicyContext {  // what every part may use: the clock, settings, chance, the post and the way out
+/// Weights are frozen from now on, or free again.
+struct WeightsFreezeChanged {
+  bool frozen = false;
+};
+
+/// What the selector goes by, besides the endpoints' status.
+struct SelectionQuery {
+  RequestAttributes request;
+  std::vector<std::string> tried;            // endpoints of earlier attempts
+  std::set<std::string> affinity_endpoints;  // those that hold connections of its group
+  int group_connections = 0;                 // connections of its group that stand here
+  std::string deduplicating_endpoint;        // repeats are dropped around this endpoint only; empty: anywhere
+  DeduplicationScope scope = DeduplicationScope::cell;
+  bool shortage = false;  // some request found no endpoint a moment ago
+};
+
+/// Which endpoints may take this request? Answered with CandidateList.
+struct SelectEndpoints {
+  std::shared_ptr<const SelectionQuery> query;
+  FleetStatistics fleet;  // filled in by the endpoint set
+};
+
+using EndpointSetMessage =
+    std::variant<EndpointsCached, EndpointsSnapshot, EndpointsUpdate, EndpointWatchFailed, ShutdownStarted,
+                 TimerFired, StatusChanged, SelectEndpoints>;
+using SelectorMessage = std::variant<StatusChanged, WeightsFreezeChanged, SelectEndpoints>;
+
+// --- to the request table ---
+
+/// The endpoint takes the request; its attempt is counted there already.
+struct Admitted {
+  std::string request_id;
+  std::string endpoint;
+};
+
+/// The endpoint does not take the request; the next candidate is to be asked.
+struct Declined {
+  CandidateList candidates;
+};
+
+/// Connections are to migrate off an endpoint, or off all.
+struct MigrateConnections {
+  std::string endpoint;              // empty: off all endpoints
+  double share = 0;                  // of the groups there
+  int budget = 0;                    // connections that may migrate within a second
+  bool whole_groups = false;         // connections of one group go together
+  bool endpoint_is_leaving = false;  // it drains or is removed
+};
+
+using RequestTableMessage =
+    std::variant<ShutdownStarted, RequestReceived, ConnectionAdopted, AttemptEstablished, AttemptEnded,
+                 LoadReported, LatencyReported, RequestStalled, ClientDisconnected, CandidateList, Admitted,
+                 Declined, MigrateConnections>;
+
+/// Messages for one addressee. What is posted becomes readable when it is delivered, so that nobody posts
+/// into the messages that are being read.
+template <class Message>
+struct Mailbox {
+  std::vector<Message> posted;
+  std::vector<Message> inbox;
+
+  void deliver() {
+    std::move(posted.begin(), posted.end(), std::back_inserter(inbox));
+    posted.clear();
+  }
+};
+
+/// What all parts of the policy use.
+struct PolicyContext {
   Settings settings;
   RandomGenerator random;
-  Tenths now;
-  std::vector<Action> actions;
-  Post post;
-  void act(ActionKind kind, const std::string& id, const std::string& host, int number = 0, Tenths time = 0) {
-    actions.push_back({kind, id, host, "", number, time});
-  }
-  Note& write(Part to, Topic topic,
-              const std::string& host = "") {  // posts a note; the caller fills in the rest
-    Note& note = post.fresh();
-    note.to = to;
-    note.topic = topic;
-    note.host = host;
-    return note;
+  TimePoint now = 0;
+  std::vector<PolicyAction> actions{};
+  std::vector<std::pair<std::string, EndpointMessage>> posted_to_endpoints{};  // by the endpoint's id
+  Mailbox<EndpointSetMessage> endpoint_set{};
+  Mailbox<SelectorMessage> selector{};
+  Mailbox<RequestTableMessage> request_table{};
+
+  void act(PolicyAction action) { actions.push_back(std::move(action)); }
+  void log(std::string text) { actions.push_back(LogMessage{std::move(text)}); }
+  void post_to_endpoint(const std::string& endpoint, EndpointMessage message) {
+    posted_to_endpoints.emplace_back(endpoint, std::move(message));
   }
-  Note& pass_on(const Note& from, Part to, Topic topic) {  // all else stays as it is
-    Note& note = post.fresh();
-    note = from;
-    note.to = to;
-    note.topic = topic;
-    return note;
+  void post_to_endpoint_set(EndpointSetMessage message) { endpoint_set.posted.push_back(std::move(message)); }
+  void post_to_selector(SelectorMessage message) { selector.posted.push_back(std::move(message)); }
+  void post_to_request_table(RequestTableMessage message) {
+    request_table.posted.push_back(std::move(message));
   }
-  void log(std::string line) { actions.push_back({ActionKind::log, "", "", std::move(line), 0, 0}); }
 };
 
 }  // namespace dapplewharf
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -10,31 +10,28 @@
 
 namespace dapplewharf {
 
-// Holds the attachments: their tries, their expiry and their one final answer.
+struct Attempt {
+  std::string host;
+  TimePoint sent = 0;
+  bool out = true;  // its result has not come
+  bool may_have_run = true;
+};
+
+struct Request {
+  RequestAttributes attributes;
+  RepeatRule repeat_rule;
+  std::vector<Attempt> tries;
+  bool standing = false;  // the connection is open
+  bool answered = false;  // ended; kept until its last attempt's result has come
+  bool pending = false;   // adopted, and not up again yet
+};
+
 class RequestTable {
  public:
-  Inbox inbox;
   explicit RequestTable(PolicyContext& around) : context_(around) {}
 
-  void read(const Note& note) {
-    switch (note.topic) {
-      case Topic::event:
-        happened(note.event);
-        break;
-      case Topic::route:
-      case Topic::passed:
-        ask(note);
-        break;
-      case Topic::evict:
-        evict(note.host, note.part, note.fleet.spare, note.fleet.each >= kOverBy, note.leaving);
-        break;
-      case Topic::taken:
-        send(note.event.id, note.host);
-        break;
-      default:
-        return;
-    }
-    forget(note.event.id);
+  void read(const RequestTableMessage& message) {
+    std::visit([this](const auto& one) { handle(one); }, message);
   }
 
  private:
@@ -52,89 +49,120 @@
   }
 
   std::optional<Duration> setup_latency_objective(const Request& held) const {
-    const TrafficClass* traffic = context_.settings.find_traffic(held.event.traffic_type);
+    const TrafficClass* traffic = context_.settings.find_traffic(held.attributes.traffic_type);
     return traffic ? traffic->setup_latency_objective : std::nullopt;
   }
 
-  void happened(const Event& event) {
+  void handle(const ShutdownStarted& event) {
     // Danger: what would be answered only after this node's end is never answered.
-    if (event.kind == EventKind::stopping && event.expiry > 0) {
-      for (auto& [id, held] : held_) {
-        held.event.expiry = std::min(held.event.expiry, event.expiry);
-      }
-    }
-    if (event.kind == EventKind::attachment || event.kind == EventKind::handed_over) {
-      return arrives(event);
-    }
-    const auto found = held_.find(event.id);
-    if (found == held_.end()) {
+    if (event.answer_by <= 0) {
       return;
     }
-    Request& held = found->second;
-    switch (event.kind) {
-      case EventKind::established:
-        stands(held, event);
-        break;
-      case EventKind::try_ended:
-        ended(held, event);
-        break;
-      case EventKind::client_left:
-        held.answered = true;
-        break;
-      case EventKind::delay_told:
-        tell_host(event, event.host);
-        break;
-      case EventKind::unanswered:  // danger: it hangs though its host serves others, or while frozen
-        if (held.standing && !held.answered && event.figure >= kLineSilent) {
-          move(held);
-        }
-        break;
-      default:
-        break;
+    for (auto& [id, held] : held_) {
+      held.attributes.deadline = std::min(held.attributes.deadline, event.answer_by);
     }
   }
 
-  void tell_host(const Event& event, const std::string& host, bool standing = false) {
-    Note& note = context_.write(Part::host, Topic::event, host);
-    note.event = event;
-    note.standing = standing;
+  void handle(const RequestReceived& event) {
+    Request& held = open(event.request);
+    if (context_.settings.retry_budget) {
+      taken_.push_back(context_.now);
+    }
+    seek(held);
+    forget(event.request.id);
   }
 
-  void arrives(const Event& event) {
-    Request held;
-    held.event = event;
-    if (const TrafficClass* traffic = context_.settings.find_traffic(event.traffic_type)) {
+  void handle(const ConnectionAdopted& event) {
+    Request& held = open(event.request);
+    held.standing = true;
+    held.pending = event.is_pending;
+    held.tries.push_back({event.endpoint, context_.now, true, true});
+    context_.post_to_endpoint(event.endpoint, ConnectionOpened{});
+  }
+
+  Request& open(const RequestAttributes& attributes) {
+    Request& held = held_[attributes.id];
+    held = Request{};
+    held.attributes = attributes;
+    if (const TrafficClass* traffic = context_.settings.find_traffic(attributes.traffic_type)) {
       held.repeat_rule = traffic->repeat_rule;
     }
-    if (event.kind == EventKind::handed_over) {
-      held.standing = true;
-      held.pending = event.pending;
-      held.tries.push_back({event.host, context_.now, true, true});
-      tell_host(event, event.host);
+    return held;
+  }
+
+  Request* find(const std::string& id) {
+    const auto found = held_.find(id);
+    return found == held_.end() ? nullptr : &found->second;
+  }
+
+  void handle(const AttemptEstablished& event) {
+    if (Request* held = find(event.request_id)) {
+      stands(*held, event);
     }
-    held_[event.id] = held;
-    if (event.kind != EventKind::attachment) {
-      return;
+    forget(event.request_id);
+  }
+
+  void handle(const AttemptEnded& event) {
+    if (Request* held = find(event.request_id)) {
+      ended(*held, event);
     }
-    if (context_.settings.retry_budget) {
-      taken_.push_back(context_.now);
+    forget(event.request_id);
+  }
+
+  void handle(const ClientDisconnected& event) {
+    if (Request* held = find(event.request_id)) {
+      held->answered = true;
     }
-    seek(held_[event.id]);
+    forget(event.request_id);
+  }
+
+  void handle(const LatencyReported& event) {
+    if (find(event.request_id)) {
+      context_.post_to_endpoint(event.endpoint, LatencyObserved{event.latency});
+    }
+    forget(event.request_id);
+  }
+
+  void handle(const LoadReported& event) { forget(event.request_id); }
+
+  // A connection that hangs though its endpoint serves others, or while weights are frozen, is migrated by
+  // itself.
+  void handle(const RequestStalled& event) {
+    Request* held = find(event.request_id);
+    if (held && held->standing && !held->answered && event.unanswered_for >= kLineSilent) {
+      move(*held);
+    }
+    forget(event.request_id);
+  }
+
+  void handle(const CandidateList& candidates) {
+    ask(candidates, true);
+    forget(candidates.request_id);
   }
 
-  void stands(Request& held, const Event& event) {
+  void handle(const Declined& declined) {
+    ask(declined.candidates, false);
+    forget(declined.candidates.request_id);
+  }
+
+  void handle(const Admitted& admitted) {
+    send(admitted.request_id, admitted.endpoint);
+    forget(admitted.request_id);
+  }
+
+  void handle(const MigrateConnections& message) { evict(message); }
+
+  void stands(Request& held, const AttemptEstablished& event) {
     held.pending = false;
     if (!std::exchange(held.standing, true)) {
       --out_;  // a connection from before was no try of this node
     }
-    keep_last(times_, event.took, kTimes);
-    Event told = event;  // with the time beyond which a set-up is a bad one
-    told.expiry = setup_latency_objective(held).value_or(0) / 2;
-    learn(event.host, event.took <= told.expiry);
-    if (behind_all()) {
-      told.expiry = kNever;
-    }
-    tell_host(told, event.host);
+    keep_last(times_, event.setup_time, kTimes);
+    // The time beyond which a set-up counts as a bad one.
+    const Duration longest_good = setup_latency_objective(held).value_or(0) / 2;
+    const bool in_time = event.setup_time <= longest_good;
+    learn(event.endpoint, in_time);
+    context_.post_to_endpoint(event.endpoint, AttemptSucceeded{in_time || behind_all()});
   }
 
   // Danger: what stands behind all hosts (a store) is slow or full, and all nodes' repeats keep it full. When
@@ -164,20 +192,21 @@
   }
   bool limited() const { return cut_at_ > 0 && context_.now - cut_at_ < kTroubleHeld; }
 
-  void ended(Request& held, const Event& event) {
-    if (event.number < 0 || event.number >= static_cast<int>(held.tries.size())) {
+  void ended(Request& held, const AttemptEnded& event) {
+    if (event.attempt < 0 || event.attempt >= static_cast<int>(held.tries.size())) {
       return;
     }
-    Attempt& last = held.tries[static_cast<std::size_t>(event.number)];
+    Attempt& last = held.tries[static_cast<std::size_t>(event.attempt)];
     if (!std::exchange(last.out, false)) {
       return;
     }
     last.may_have_run = event.outcome != Outcome::rejected && event.outcome != Outcome::connect_failed &&
                         event.outcome != Outcome::not_sent;
-    Event told = event;
+    Outcome told = event.outcome;
     // Danger: a host that leaves while its connection comes up would cost the attachment one of its tries.
     if (event.outcome == Outcome::withdrawn) {
-      --out_, tell_host(event, last.host);
+      --out_;
+      context_.post_to_endpoint(last.host, AttemptFinished{event.outcome, false});
       if (held.tries.size() > 1 && !further_.empty()) {
         further_.pop_back();
       }
@@ -191,12 +220,12 @@
           event.outcome != Outcome::connect_failed) {
         learn(last.host, false);
         if (behind_all()) {
-          told.outcome = Outcome::cancelled;
+          told = Outcome::cancelled;
         }
       }
     }
-    tell_host(told, last.host, held.standing);
-    if (event.final || held.standing) {
+    context_.post_to_endpoint(last.host, AttemptFinished{told, held.standing});
+    if (event.is_final || held.standing) {
       held.answered = true;
     }
     if (!held.answered) {
@@ -206,7 +235,8 @@
 
   // Whole groups move, the same at every node, so that a group is paid for at one host and not at two.
   // Danger: a least of one at each of many nodes clears a host at a stroke; a group's hash says when it goes.
-  void evict(const std::string& host, double part, int spare, bool whole, bool leaving) {
+  void evict(const MigrateConnections& message) {
+    const std::string& host = message.endpoint;
     std::erase_if(moved_, [this](Tenths when) { return context_.now - when >= kSecond; });
     for (auto& [id, held] : held_) {
       if (!held.standing || held.answered) {
@@ -216,15 +246,16 @@
         continue;
       }
       // Danger: one that is still to come up again would be ended by a trouble that may pass.
-      if (held.pending && !host.empty() && !leaving) {
+      if (held.pending && !host.empty() && !message.endpoint_is_leaving) {
         continue;
       }
-      const auto& by = held.event.group && whole ? held.event.group : held.event.key;
+      const auto& by = held.attributes.affinity_group && message.whole_groups ? held.attributes.affinity_group
+                                                                              : held.attributes.client_key;
       const auto group = hash(by ? static_cast<std::uint64_t>(*by) : hash(id));
-      if (static_cast<double>(hash(group ^ hash(host)) >> 32) >= part * 4294967296.0) {
+      if (static_cast<double>(hash(group ^ hash(host)) >> 32) >= message.share * 4294967296.0) {
         continue;
       }
-      if (static_cast<int>(moved_.size()) >= spare) {
+      if (static_cast<int>(moved_.size()) >= message.budget) {
         return;  // danger: moved work chases itself without room
       }
       move(held);
@@ -233,13 +264,13 @@
 
   void move(Request& held) {
     held.answered = true;  // the client comes again as a new attachment
-    context_.act(ActionKind::move, held.event.id, held.tries.back().host);
+    context_.act(MigrateConnection{held.attributes.id, held.tries.back().host});
     moved_.push_back(context_.now);
   }
 
   // The one place that decides whether an attachment may have another setup try.
   bool may_be_tried_again(const Request& held) const {
-    if (held.answered || held.standing || context_.now >= held.event.expiry) {
+    if (held.answered || held.standing || context_.now >= held.attributes.deadline) {
       return false;
     }
     if (static_cast<double>(held.tries.size()) >= context_.settings.max_attempts) {
@@ -297,11 +328,11 @@
 
   // Fairness: what lies beyond a tenant's share gives way first, and only while room is short.
   bool beyond_share(const Request& held) const {
-    const Tenant* tenant = context_.settings.find_tenant(held.event.tenant);
+    const Tenant* tenant = context_.settings.find_tenant(held.attributes.tenant);
     const double share = tenant ? tenant->connections.value_or(0) / context_.settings.node_count : 0;
     double open = 0;
     for (const auto& [id, other] : held_) {
-      if (!other.answered && other.standing && other.event.tenant == held.event.tenant) {
+      if (!other.answered && other.standing && other.attributes.tenant == held.attributes.tenant) {
         ++open;
       }
     }
@@ -315,70 +346,73 @@
     if (!budget_allows() && !held.tries.empty()) {
       return give_up(held);  // asked of all: old ones go
     }
-    Note& note = context_.write(Part::roster, Topic::seek);
-    note.event = held.event;
-    if (held.event.group) {
+    auto query = std::make_shared<SelectionQuery>();
+    query->request = held.attributes;
+    if (held.attributes.affinity_group) {
       for (const auto& [id, other] : held_) {
-        if (other.standing && !other.answered && other.event.group == held.event.group) {
-          note.homes.insert(other.tries.back().host), ++note.members;
+        if (other.standing && !other.answered &&
+            other.attributes.affinity_group == held.attributes.affinity_group) {
+          query->affinity_endpoints.insert(other.tries.back().host);
+          ++query->group_connections;
         }
       }
     }
     for (const Attempt& earlier : held.tries) {
-      note.hosts.push_back(earlier.host);
+      query->tried.push_back(earlier.host);
       if (held.repeat_rule.idempotency == Idempotency::deduplicated && earlier.may_have_run) {
-        note.host = earlier.host;
+        query->deduplicating_endpoint = earlier.host;
       }
     }
-    note.within = held.repeat_rule.scope;
-    note.shortage = none_at_ > 0 && context_.now - none_at_ < kStrainHeld;
+    query->scope = held.repeat_rule.scope;
+    query->shortage = none_at_ > 0 && context_.now - none_at_ < kStrainHeld;
+    context_.post_to_endpoint_set(SelectEndpoints{std::move(query), {}});
   }
 
   // Asks the next host of a route; each host answers with a note of its own.
-  void ask(const Note& route) {
-    const auto found = held_.find(route.event.id);
-    if (found == held_.end() || found->second.answered) {
+  void ask(const CandidateList& candidates, bool is_first) {
+    Request* held = find(candidates.request_id);
+    if (!held || held->answered) {
       return;
     }
-    Request& held = found->second;
-    const bool crowd = route.fleet.crowd_limit > 0;
-    const bool gives_way = route.topic == Topic::route && crowd && beyond_share(held);
-    const bool none = route.asked >= route.order->size();
+    const bool crowd = candidates.fleet.crowd_limit > 0;
+    const bool gives_way = is_first && crowd && beyond_share(*held);
+    const bool none = candidates.asked >= candidates.endpoints->size();
     if (crowd && none) {
       none_at_ = context_.now;
     }
-    if (gives_way || none || context_.now >= held.event.expiry) {
-      return give_up(held);
+    if (gives_way || none || context_.now >= held->attributes.deadline) {
+      return give_up(*held);
     }
-    Note& note = context_.pass_on(route, Part::host, Topic::offer);
-    note.host = (*route.order)[note.asked++];
+    const std::string& endpoint = (*candidates.endpoints)[candidates.asked];
+    AdmissionRequest message{candidates};
+    ++message.candidates.asked;
+    context_.post_to_endpoint(endpoint, std::move(message));
   }
 
   void send(const std::string& id, const std::string& host) {
     Request& held = held_[id];
     if (!held.tries.empty()) {
       if (!budget_allows()) {  // spent since it was sought: the host has counted it, and counts it out again
-        Event unsent;
-        unsent.kind = EventKind::try_ended, unsent.outcome = Outcome::not_sent;
-        tell_host(unsent, host);
+        context_.post_to_endpoint(host, AttemptFinished{Outcome::not_sent, false});
         return give_up(held);
       }
       further_.push_back(context_.now);
     }
     held.tries.push_back({host, context_.now, true, true});
     ++out_;
-    context_.act(ActionKind::setup_try, id, host, 0, time_out(held));
+    context_.act(StartAttempt{id, host, time_out(held)});
   }
 
   // A try that hangs must leave time for another within the latency goal; the last one may use all of it.
   Tenths time_out(const Request& held) const {
-    const Tenths left = held.event.expiry - context_.now;
+    const Tenths left = held.attributes.deadline - context_.now;
     if (static_cast<double>(held.tries.size()) >= context_.settings.max_attempts) {
       return left;
     }
     // Danger: given up early, a set-up behind a slow store is work done for nobody, and its repeat is more of
     // it.
-    if (held.repeat_rule.idempotency == Idempotency::non_idempotent || held.event.mid_flow || limited()) {
+    if (held.repeat_rule.idempotency == Idempotency::non_idempotent || held.attributes.is_mid_connection ||
+        limited()) {
       return left;
     }
     std::vector<Tenths> sorted(times_.begin(), times_.end());
@@ -392,14 +426,14 @@
     if (std::exchange(held.answered, true)) {
       return;
     }
-    const std::string& id = held.event.id;
+    const std::string& id = held.attributes.id;
     if (!may_be_rejected(held)) {
-      return context_.act(ActionKind::scrap, id, "");
+      return context_.act(FailRequest{id});
     }
     const Settings& settings = context_.settings;
     const auto most = static_cast<double>(settings.retry_after_allowed ? settings.max_retry_after : 0);
     const double share = 0.2 + 0.8 * context_.random.share();  // danger: a rejected crowd comes back in step
-    context_.act(ActionKind::reject, id, "", 0, static_cast<Tenths>(most * share));
+    context_.act(RejectRequest{id, static_cast<Duration>(most * share)});
   }
 
   PolicyContext& context_;
