--- /dev/null
+++ b/tools/lint.sh
@@ -0,0 +1,79 @@
+#!/bin/sh
+# Lints src/: clang-tidy with the checks of .clang-tidy over every file, and each header must compile alone.
+# A finding is an error unless tools/lint_exceptions.txt names its file and check. That list may only shrink: an
+# exception that no longer occurs is an error too, and comments that silence clang-tidy are refused.
+#
+#   tools/lint.sh          lints; exit 0 when clean, 1 otherwise
+#   tools/lint.sh --list   prints the current findings in the format of tools/lint_exceptions.txt
+#
+# LINT_JOBS is the number of parallel processes (default: the number of cores).
+set -eu
+cd "$(dirname "$0")/.."
+jobs=${LINT_JOBS:-$(nproc)}
+exceptions=tools/lint_exceptions.txt
+default_reason="older than the linter; goes when the file is next rewritten"
+work=$(mktemp -d)
+trap 'rm -rf "$work"' EXIT
+
+# CMake writes compile_commands.json; nothing is built.
+cmake -S . -B build-lint -DDAPPLEWHARF_TESTS=ON -DCMAKE_BUILD_TYPE=Debug >"$work/cmake" 2>&1 ||
+  { cat "$work/cmake"; exit 1; }
+
+# Prints what clang-tidy finds in each file, the longest file first so that no core idles at the end.
+run_clang_tidy() {
+  git ls-files -co --exclude-standard 'src/*.cpp' | xargs wc -l | awk '$2 != "total" {print $1, $2}' | sort -rn | cut -d' ' -f2 |
+    xargs -P "$jobs" -I FILE sh -c 'clang-tidy -p build-lint --quiet --extra-arg=-Wno-unknown-warning-option --extra-arg=-Wno-error FILE \
+      >"$0/$(echo FILE | tr / _).tidy" 2>/dev/null || echo "clang-tidy failed on FILE" >>"$0/failed"' "$work"
+  cat "$work"/*.tidy
+}
+
+# Headers that do not compile when nothing is included before them.
+check_headers() {
+  git ls-files -co --exclude-standard 'src/*.h' | xargs -P "$jobs" -I FILE sh -c '
+    echo "#include \"FILE\"" | ${CXX:-c++} -std=c++20 -fsyntax-only -Wall -Wextra -I. -Isrc -x c++ - >"$0/header.$$" 2>&1 ||
+      { cat "$0/header.$$"; echo "FILE does not compile alone" | tee -a "$0/failed"; }' "$work"
+}
+
+run_clang_tidy >"$work/output"
+sed -n "s|^$PWD/\(src/[^:]*\):\([0-9]*:[0-9]*\): [a-z]*: \(.*\) \[\([a-z.,-]*\)\]\$|\1 \4 \2 \3|p" "$work/output" |
+  sort -u >"$work/findings"
+cut -d' ' -f1,2 "$work/findings" | sort -u >"$work/found"
+grep -v '^#' "$exceptions" 2>/dev/null | sort -u >"$work/reasons" || true
+cut -d' ' -f1,2 "$work/reasons" | sort -u >"$work/excepted"
+
+if [ "${1:-}" = --list ]; then
+  sed -n '/^#/p' "$exceptions" 2>/dev/null || true
+  awk -v reason="$default_reason" '
+    FILENAME ~ /reasons$/ {key = $1 " " $2; sub(/^[^ ]* [^ ]* /, ""); known[key] = $0; next}
+    {print $0, ($0 in known ? known[$0] : reason)}' "$work/reasons" "$work/found"
+  [ ! -e "$work/failed" ] || { cat "$work/failed" >&2; exit 1; }
+  exit 0
+fi
+
+check_headers
+status=0
+if [ -e "$work/failed" ]; then
+  cat "$work/failed"
+  grep -h 'error:' "$work/output" || true
+  status=1
+fi
+comm -23 "$work/found" "$work/excepted" >"$work/new"
+if [ -s "$work/new" ]; then
+  awk 'FILENAME ~ /new$/ {wanted[$1 " " $2] = 1; next}
+    ($1 " " $2) in wanted {file = $1; check = $2; place = $3; sub(/^[^ ]* [^ ]* [^ ]* /, "");
+      print file ":" place ": " $0 " [" check "]"}' "$work/new" "$work/findings"
+  status=1
+fi
+if comm -13 "$work/found" "$work/excepted" | grep . >"$work/stale"; then
+  sed 's|^|take off tools/lint_exceptions.txt, no longer found: |' "$work/stale"
+  status=1
+fi
+if awk 'NF < 3' "$work/reasons" | grep . || grep 'clang-diagnostic-error' "$work/reasons"; then
+  echo "an exception needs a file, a check and a reason, and cannot be an error of the compiler"
+  status=1
+fi
+if git grep -n --untracked NOLINT -- src; then
+  echo "exceptions stand in $exceptions alone"
+  status=1
+fi
+exit $status
