--- a/src/emulator/main.cpp
+++ b/src/emulator/main.cpp
@@ -10,7 +10,7 @@
 #include "emulator/live/parts.h"
 #include "emulator/report/page.h"
 #include "emulator/sim/policy.h"
-#include "emulator/sim/sim.h"
+#include "emulator/sim/simulation.h"
 #include "emulator/soak.h"
 #include "emulator/sweep.h"
 
@@ -38,7 +38,7 @@
   check_policy(policy);
   check_folder(out);
   const std::clock_t begun = std::clock();
-  Effort effort;
+  SimulationEffort effort;
   const Result result = simulate(scenario, seed, policy, &effort);
   const double cpu = static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC;
   if (!out.empty()) {
--- /dev/null
+++ b/src/emulator/sim/connection_simulator.h
@@ -0,0 +1,35 @@
+// The attempts of a simulated run and the connections that they become, as nodes and the network see them.
+// Owns no state but through SimulationState. See docs/emulator.md.
+#pragma once
+#include "emulator/sim/simulation_parts.h"
+#include "emulator/sim/simulation_state.h"
+
+namespace dapplewharf::emulator {
+
+class ConnectionSimulator {
+ public:
+  explicit ConnectionSimulator(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
+
+  void handle(const RequestLineSent& event);
+  void handle(const AttemptFails& event);
+  void handle(const AttemptTimesOut& event);
+  void handle(const EstablishedArrives& event);
+  void handle(const AttemptResultArrives& event);
+
+  /// Begins the attempt that a node's policy has decided on.
+  void begin_attempt(Index node, const Action& action);
+
+  /// Closes a connection at its node: the policy and the endpoint are told.
+  /// @param final whether the client's request ends with it.
+  void close(Index connection, Outcome outcome, bool final);
+
+ private:
+  Index add_connection(Index client, Index node, Index endpoint, std::optional<int> attempt_number);
+  void send_request(Index connection, Tenths timeout);
+  void end_attempt(Index connection, Outcome outcome);
+
+  SimulationParts& parts_;
+  SimulationState& state_;
+};
+
+}  // namespace dapplewharf::emulator
--- /dev/null
+++ b/src/emulator/sim/node_simulator.h
@@ -0,0 +1,49 @@
+// The nodes of a simulated run: their processes, and the turns in which a policy gets events and its actions
+// are carried out. Changes nodes in the shared state. See docs/emulator.md.
+#pragma once
+#include "emulator/sim/simulation_parts.h"
+#include "emulator/sim/simulation_state.h"
+
+namespace dapplewharf::emulator {
+
+class NodeSimulator {
+ public:
+  explicit NodeSimulator(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
+
+  void handle(const PolicyTimerFires& event);
+  void handle(const NodeRestarts& event);
+  void handle(const NodeExits& event);
+  void handle(const FrontChecksNode& event);
+  void handle(const FrontRemovesNode& event);
+
+  /// Starts a node's process with the endpoint list that the deployment keeps for it.
+  void start(Index node);
+  /// Kills a node's process at once.
+  void kill(Index node);
+  /// Tells a node to stop; it exits after kNodeShutdownTime and restarts.
+  /// @param restart_after since now, at the earliest just after the exit.
+  void stop(Index node, Tenths restart_after);
+
+  /// Appends an event for a node's policy; the reference holds until the next call.
+  Event& add_event(Index node, EventKind kind, const std::string& id = "",
+                   std::optional<Index> endpoint = std::nullopt);
+
+  /// Hands the pending events to a node's policy and carries out its actions until no event is left. A call
+  /// from within a turn leaves the events to that turn.
+  void run_policy(Index node);
+
+ private:
+  double true_load(const std::string& endpoint) const;
+  void perform(Index node, const Action& action);
+  void cancel_attempt(const Action& action);
+  void migrate(const Action& action);
+  void answer(const std::string& request_id, Reply reply, double retry_after_ms);
+  void end_process(Index node);
+  void drop_connections(Index node, Ended how);
+  void drop_requests(Index node);
+
+  SimulationParts& parts_;
+  SimulationState& state_;
+};
+
+}  // namespace dapplewharf::emulator
--- /dev/null
+++ b/src/emulator/sim/simulation.cpp
@@ -0,0 +1,133 @@
+#include "emulator/sim/simulation.h"
+
+#include <algorithm>
+
+#include "emulator/sim/client_simulator.h"
+#include "emulator/sim/connection_simulator.h"
+#include "emulator/sim/endpoint_list_service.h"
+#include "emulator/sim/endpoint_simulator.h"
+#include "emulator/sim/fault_injector.h"
+#include "emulator/sim/health_check_simulator.h"
+#include "emulator/sim/measurements.h"
+#include "emulator/sim/node_simulator.h"
+#include "emulator/sim/sim_time.h"
+#include "emulator/sim/simulation_parts.h"
+#include "emulator/sim/simulation_state.h"
+
+namespace dapplewharf::emulator {
+namespace {
+
+/// After the last deadline, for answers that are on their way.
+constexpr double kAnswerGraceMs = 100;
+
+/// One visitor made of the handlers of all parts.
+template <class... Handlers>
+struct Visitor : Handlers... {
+  using Handlers::operator()...;
+};
+template <class... Handlers>
+Visitor(Handlers...) -> Visitor<Handlers...>;
+
+class Simulation {
+ public:
+  Simulation(const Scenario& scenario, std::uint64_t seed, const std::string& policy)
+      : state_(scenario, seed, policy) {}
+
+  Result run(SimulationEffort* effort);
+
+ private:
+  void start_endpoints();
+  void start_nodes();
+  void schedule_plan();
+  Tenths end_of_answers() const;
+  void dispatch(const SimEvent& event);
+
+  SimulationState state_;
+  SimulationParts parts_{.state = state_,
+                         .clients = clients_,
+                         .connections = connections_,
+                         .endpoints = endpoints_,
+                         .nodes = nodes_,
+                         .health_checks = health_checks_,
+                         .list_service = list_service_};
+  ClientSimulator clients_{parts_};
+  ConnectionSimulator connections_{parts_};
+  EndpointSimulator endpoints_{parts_};
+  NodeSimulator nodes_{parts_};
+  HealthCheckSimulator health_checks_{parts_};
+  EndpointListService list_service_{parts_};
+  FaultInjector faults_{parts_};
+  Measurements measurements_{parts_};
+};
+
+Result Simulation::run(SimulationEffort* effort) {
+  start_endpoints();
+  start_nodes();
+  schedule_plan();
+  measurements_.start();
+  const Tenths last = end_of_answers();
+  while (state_.queue.has_event_until(last)) {
+    dispatch(state_.queue.take_next());
+  }
+  state_.queue.advance_to(last);
+  state_.audit.finish(last);
+  state_.result.take(state_.audit);
+  if (effort) {
+    *effort = {.virtual_s = to_seconds(last), .connection_s = measurements_.connection_seconds()};
+  }
+  return std::move(state_.result);
+}
+
+void Simulation::start_endpoints() {
+  for (Index endpoint = 0; endpoint < state_.endpoints.size(); ++endpoint) {
+    const double joins_s = state_.plan.hosts[endpoint].joins_s;
+    if (joins_s > 0) {
+      state_.schedule(from_seconds(joins_s), EndpointJoins{endpoint});
+    }
+  }
+}
+
+void Simulation::start_nodes() {
+  for (Index index = 0; index < state_.nodes.size(); ++index) {
+    SimulatedNode& node = state_.nodes[index];
+    node.zone = state_.plan.zone_of_node(static_cast<int>(index), state_.scenario);
+    node.established.assign(state_.endpoints.size(), 0);
+    node.slow_endpoints.assign(state_.endpoints.size(), false);
+    nodes_.start(index);
+  }
+}
+
+void Simulation::schedule_plan() {
+  for (Index client = 0; client < state_.clients.size(); ++client) {
+    state_.schedule(from_seconds(state_.session(client).arrive_s), ClientArrives{client});
+  }
+  for (Index fault = 0; fault < state_.plan.faults.size(); ++fault) {
+    state_.schedule(from_seconds(state_.plan.faults[fault].fault.at_s), FaultBegins{fault});
+  }
+}
+
+Tenths Simulation::end_of_answers() const {
+  double longest_deadline_ms = 0;
+  for (const Traffic& type : state_.scenario.traffic) {
+    longest_deadline_ms = std::max(longest_deadline_ms, type.expiry_ms);
+  }
+  return state_.end + from_milliseconds(longest_deadline_ms + kAnswerGraceMs);
+}
+
+void Simulation::dispatch(const SimEvent& event) {
+  const auto to = [](auto& part) {
+    return [&part](const auto& one) -> decltype(part.handle(one)) { part.handle(one); };
+  };
+  std::visit(Visitor{to(clients_), to(connections_), to(endpoints_), to(nodes_), to(health_checks_),
+                     to(list_service_), to(faults_), to(measurements_)},
+             event);
+}
+
+}  // namespace
+
+Result simulate(const Scenario& scenario, std::uint64_t seed, const std::string& policy,
+                SimulationEffort* effort) {
+  return Simulation(scenario, seed, policy).run(effort);
+}
+
+}  // namespace dapplewharf::emulator
--- a/src/emulator/sweep.cpp
+++ b/src/emulator/sweep.cpp
@@ -19,7 +19,7 @@
 #include "emulator/model/chance.h"
 #include "emulator/report/result.h"
 #include "emulator/sim/policy.h"
-#include "emulator/sim/sim.h"
+#include "emulator/sim/simulation.h"
 
 namespace dapplewharf::emulator {
 namespace {
--- a/tests/emulator/simulation_test.cpp
+++ b/tests/emulator/simulation_test.cpp
@@ -1,11 +1,12 @@
 // Whole runs in virtual time: the same bytes for the same seed, every rule findable, and the module keeping
 // all of them.
+#include "emulator/sim/simulation.h"
+
 #include <gtest/gtest.h>
 
 #include <filesystem>
 
 #include "emulator/sim/policy.h"
-#include "emulator/sim/sim.h"
 #include "emulator/sweep.h"
 
 namespace dapplewharf::emulator {
