--- a/src/emulator/sim/client_simulator.cpp
+++ b/src/emulator/sim/client_simulator.cpp
@@ -10,7 +10,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kNoNodeRetryDelay = 500 * kMs;
+constexpr Duration kNoNodeRetryDelay = 500 * kMs;
 constexpr std::uint64_t kAffinityGroupHashSeed = 7;
 constexpr std::uint64_t kDisconnectDraw = 0xd409;
 constexpr std::uint64_t kReturnDraw = 0xd509;
@@ -76,7 +76,7 @@
     return;
   }
   SimulatedClient& client = state_.clients[event.client];
-  SimulatedNode& node = state_.nodes[*client.node];
+  const SimulatedNode& node = state_.nodes[*client.node];
   if (!node.alive || node.incarnation != client.node_incarnation) {
     client.waiting = false;
     retry(event.client, Reply::cut, 0);
@@ -87,40 +87,40 @@
   state_.audit.asked(client.request_id, static_cast<int>(*client.node), session.traffic, state_.now());
   ++state_.current_second().asked;
   state_.requests[client.request_id] = event.client;
-  const Tenths longest_wait = from_milliseconds(type.expiry_ms + state_.scenario.grace_to_answer_ms);
+  const Duration longest_wait = from_milliseconds(type.expiry_ms + state_.scenario.grace_to_answer_ms);
   state_.schedule(state_.now() + longest_wait + 1, RequestDeadlinePasses{event.client, event.request_number});
   if (session.patience_ms > 0 && event.request_number == 1) {
     state_.schedule(state_.now() + from_milliseconds(session.patience_ms),
                     ClientLeavesEarly{event.client, event.request_number});
   }
-  node.pending_events.push_back(request_event(event.client));
+  parts_.nodes.add_event(*client.node, request_event(event.client));
   parts_.nodes.run_policy(*client.node);
 }
 
-Event ClientSimulator::request_event(Index index) const {
+RequestReceived ClientSimulator::request_event(Index index) const {
   const SimulatedClient& client = state_.clients[index];
   const SimulatedNode& node = state_.nodes[*client.node];
   const Session& session = state_.session(index);
   const Traffic& type = state_.traffic_type(index);
-  Event event;
-  event.kind = EventKind::attachment;
-  event.id = client.request_id;
-  event.traffic_type = type.name;
+  RequestAttributes request;
+  request.id = client.request_id;
+  request.traffic_type = type.name;
   if (session.tenant >= 0) {
-    event.tenant = state_.scenario.tenants[static_cast<std::size_t>(session.tenant)].name;
+    request.tenant = state_.scenario.tenants[static_cast<std::size_t>(session.tenant)].name;
   }
-  event.key = static_cast<std::int64_t>(session.seed >> 1);
+  request.client_key = static_cast<std::int64_t>(session.seed >> 1);
   if (session.group >= 0) {
     const std::uint64_t hash = XXH64(&session.group, sizeof session.group, kAffinityGroupHashSeed);
-    event.group = static_cast<std::int64_t>(hash >> 1);
+    request.affinity_group = static_cast<std::int64_t>(hash >> 1);
   }
-  event.expiry = kPolicyClockAtStart + state_.now() + from_milliseconds(type.expiry_ms);
+  request.deadline = kPolicyClockAtStart + state_.now() + from_milliseconds(type.expiry_ms);
   if (node.stopping) {
-    const Tenths last_answer = kPolicyClockAtStart + node.stop_requested + kNodeShutdownTime - kServiceStep;
-    event.expiry = std::min(event.expiry, last_answer);
+    const TimePoint last_answer =
+        kPolicyClockAtStart + node.stop_requested + kNodeShutdownTime - kServiceStep;
+    request.deadline = std::min(request.deadline, last_answer);
   }
-  event.returned = client.request_number > 1;
-  return event;
+  request.is_migrated = client.request_number > 1;
+  return {.request = std::move(request)};
 }
 
 void ClientSimulator::handle(const RequestDeadlinePasses& event) {
@@ -144,15 +144,12 @@
   SimulatedClient& client = state_.clients[index];
   state_.audit.client_left(client.request_id, state_.now());
   client.waiting = false;
-  SimulatedNode& node = state_.nodes[*client.node];
+  const SimulatedNode& node = state_.nodes[*client.node];
   const bool in_flight = state_.requests.erase(client.request_id) > 0;
   if (!in_flight || !node.alive || node.incarnation != client.node_incarnation) {
     return;
   }
-  Event event;
-  event.kind = EventKind::client_left;
-  event.id = client.request_id;
-  node.pending_events.push_back(std::move(event));
+  parts_.nodes.add_event(*client.node, ClientDisconnected{client.request_id});
   if (client.connection) {
     parts_.connections.close(*client.connection, Outcome::cancelled, true);
   }
--- a/src/emulator/sim/client_simulator.h
+++ b/src/emulator/sim/client_simulator.h
@@ -36,7 +36,7 @@
   std::optional<Index> next_node(int zone);
   bool waits_for(Index client, int request_number) const;
   void start_session(Index client);
-  Event request_event(Index client) const;
+  RequestReceived request_event(Index client) const;
   void abandon_request(Index client);
   void finish_session(Index client);
   void record_answer(const AnswerArrives& event);
--- a/src/emulator/sim/connection_simulator.cpp
+++ b/src/emulator/sim/connection_simulator.cpp
@@ -9,16 +9,16 @@
 
 namespace dapplewharf::emulator {
 
-void ConnectionSimulator::begin_attempt(Index node, const Action& action) {
-  const std::optional<Index> client = state_.find_request(action.id);
-  const std::optional<Index> endpoint = state_.find_endpoint(action.host);
+void ConnectionSimulator::begin_attempt(Index node, const StartAttempt& action) {
+  const std::optional<Index> client = state_.find_request(action.request_id);
+  const std::optional<Index> endpoint = state_.find_endpoint(action.endpoint);
   if (!client || !endpoint) {
     return;
   }
   const int attempt_number = state_.clients[*client].attempts++;
   const Index connection = add_connection(*client, node, *endpoint, attempt_number);
   state_.clients[*client].connection = connection;
-  send_request(connection, action.time);
+  send_request(connection, action.timeout);
   if (state_.nodes[node].zone != state_.zone_of_endpoint(*endpoint)) {
     ++state_.result.crossings;
   }
@@ -27,7 +27,7 @@
   }
   const Index next_endpoint = (*endpoint + 1) % static_cast<Index>(state_.endpoints.size());
   const Index duplicate = add_connection(*client, node, next_endpoint, std::nullopt);
-  send_request(duplicate, action.time);
+  send_request(duplicate, action.timeout);
 }
 
 Index ConnectionSimulator::add_connection(Index client, Index node, Index endpoint,
@@ -43,19 +43,19 @@
   return static_cast<Index>(state_.connections.size() - 1);
 }
 
-void ConnectionSimulator::send_request(Index index, Tenths timeout) {
+void ConnectionSimulator::send_request(Index index, Duration timeout) {
   const Index node = state_.connections[index].node;
   const Index endpoint = state_.connections[index].endpoint;
   const SimulatedEndpoint& target = state_.endpoints[endpoint];
-  const Tenths one_way = state_.draw_node_delay(node, endpoint);
-  const Tenths now = state_.now();
+  const Duration one_way = state_.draw_node_delay(node, endpoint);
+  const TimePoint now = state_.now();
   const double most_connections = state_.scenario.cap * state_.plan.hosts[endpoint].cores;
   const bool reachable =
       target.condition != EndpointCondition::vanished && !state_.responses_lost(node, endpoint);
   const bool refused =
       target.condition == EndpointCondition::down || target.open_connections >= most_connections;
   if (!reachable) {
-    const Tenths connect_timeout = from_milliseconds(state_.scenario.connect_ms);
+    const Duration connect_timeout = from_milliseconds(state_.scenario.connect_ms);
     state_.schedule(now + std::min(timeout, connect_timeout), AttemptFails{index, Outcome::connect_failed});
   } else if (refused) {
     state_.schedule(now + 2 * one_way, AttemptFails{index, Outcome::connect_failed});
@@ -97,9 +97,10 @@
   }
   const std::string id = state_.request_id(connection);
   state_.audit.try_over(id, static_cast<int>(connection.endpoint), true, state_.now());
-  Event& established = parts_.nodes.add_event(node, EventKind::established, id, connection.endpoint);
-  established.number = *connection.attempt_number;
-  established.took = state_.now() - connection.started;
+  parts_.nodes.add_event(node, AttemptEstablished{.request_id = id,
+                                                  .endpoint = state_.plan.hosts[connection.endpoint].id,
+                                                  .attempt = *connection.attempt_number,
+                                                  .setup_time = state_.now() - connection.started});
   ++state_.nodes[node].established[connection.endpoint];
   connection.established_at_node = true;
   parts_.clients.send_answer(connection.client, Reply::up);
@@ -138,16 +139,18 @@
     state_.audit.try_over(id, static_cast<int>(connection.endpoint), may_have_run, state_.now());
   }
   if (connection.attempt_number) {
-    Event& event = parts_.nodes.add_event(connection.node, EventKind::try_ended, id, connection.endpoint);
-    event.number = *connection.attempt_number;
-    event.outcome = outcome;
-    event.took = state_.now() - connection.started;
-    event.final = final || was_established;
+    parts_.nodes.add_event(connection.node,
+                           AttemptEnded{.request_id = id,
+                                        .endpoint = state_.plan.hosts[connection.endpoint].id,
+                                        .attempt = *connection.attempt_number,
+                                        .outcome = outcome,
+                                        .duration = state_.now() - connection.started,
+                                        .is_final = final || was_established});
     if (was_established) {
       state_.requests.erase(id);
     }
   }
-  const Tenths one_way = state_.draw_node_delay(connection.node, connection.endpoint);
+  const Duration one_way = state_.draw_node_delay(connection.node, connection.endpoint);
   state_.schedule(state_.now() + one_way, CloseArrives{index});
 }
 
--- a/src/emulator/sim/connection_simulator.h
+++ b/src/emulator/sim/connection_simulator.h
@@ -17,7 +17,7 @@
   void handle(const AttemptResultArrives& event);
 
   /// Begins the attempt that a node's policy has decided on.
-  void begin_attempt(Index node, const Action& action);
+  void begin_attempt(Index node, const StartAttempt& action);
 
   /// Closes a connection at its node: the policy and the endpoint are told.
   /// @param final whether the client's request ends with it.
@@ -25,7 +25,7 @@
 
  private:
   Index add_connection(Index client, Index node, Index endpoint, std::optional<int> attempt_number);
-  void send_request(Index connection, Tenths timeout);
+  void send_request(Index connection, Duration timeout);
   void end_attempt(Index connection, Outcome outcome);
 
   SimulationParts& parts_;
--- a/src/emulator/sim/endpoint_list_service.cpp
+++ b/src/emulator/sim/endpoint_list_service.cpp
@@ -8,7 +8,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kOutageTimeout = kSecond;  // of a call to the service while it is down
+constexpr Duration kOutageTimeout = kSecond;  // of a call to the service while it is down
 
 }  // namespace
 
@@ -46,9 +46,9 @@
 }
 
 void EndpointListService::deliver_cached_list(Index node) {
-  Event& event = parts_.nodes.add_event(node, EventKind::list_copy);
-  event.listings = whole_list();
-  record_notification(node, event.listings);
+  const std::vector<EndpointEntry> list = whole_list();
+  record_notification(node, list);
+  parts_.nodes.add_event(node, EndpointsCached{list});
 }
 
 void EndpointListService::request_list(Index index, bool watch) {
@@ -61,7 +61,7 @@
     state_.schedule(state_.now() + kOutageTimeout, EndpointListFails{index, node.incarnation});
     return;
   }
-  const Tenths response_time = state_.network.draw_delay(state_.scenario.list_call_ms);
+  const Duration response_time = state_.network.draw_delay(state_.scenario.list_call_ms);
   state_.schedule(state_.now() + response_time, EndpointListArrives{index, node.incarnation, watch});
 }
 
@@ -75,9 +75,9 @@
   }
   SimulatedNode& node = state_.nodes[event.node];
   node.watches_list = node.watches_list || event.watch;
-  Event& snapshot = parts_.nodes.add_event(event.node, EventKind::list_whole);
-  snapshot.listings = whole_list();
-  record_notification(event.node, snapshot.listings);
+  const std::vector<EndpointEntry> list = whole_list();
+  parts_.nodes.add_event(event.node, EndpointsSnapshot{list});
+  record_notification(event.node, list);
   for (Index endpoint = 0; endpoint < state_.endpoints.size(); ++endpoint) {
     if (!state_.endpoints[endpoint].listed) {
       state_.audit.told(static_cast<int>(event.node), static_cast<int>(endpoint), true, state_.now());
@@ -95,7 +95,7 @@
     return;
   }
   state_.nodes[node].watches_list = false;
-  parts_.nodes.add_event(node, EventKind::list_lost);
+  parts_.nodes.add_event(node, EndpointWatchFailed{});
   parts_.nodes.run_policy(node);
   if (state_.scenario.list_mode == "pushed" && is_down()) {
     state_.schedule(state_.now() + kOutageTimeout, EndpointListArrives{node, incarnation, true});
@@ -124,12 +124,12 @@
       continue;
     }
     if (node.watches_list) {
-      Event& update = parts_.nodes.add_event(index, EventKind::list_changes);
-      update.listings.push_back(entry(event.endpoint));
-      record_notification(index, update.listings);
+      const std::vector<EndpointEntry> changed{entry(event.endpoint)};
+      parts_.nodes.add_event(index, EndpointsUpdate{changed});
+      record_notification(index, changed);
       parts_.nodes.run_policy(index);
     } else if (event.state != EndpointState::healthy) {
-      const Tenths next_poll = node.list_requested + from_seconds(state_.scenario.ask_within_s);
+      const TimePoint next_poll = node.list_requested + from_seconds(state_.scenario.ask_within_s);
       state_.schedule(next_poll, PollingNodeIsNotified{index, event.endpoint});
     }
   }
--- a/src/emulator/sim/endpoint_simulator.cpp
+++ b/src/emulator/sim/endpoint_simulator.cpp
@@ -12,7 +12,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kDrainStepInterval = 500 * kMs;
+constexpr Duration kDrainStepInterval = 500 * kMs;
 constexpr double kDrainStepShare = 0.2;  // of the connections that are left
 constexpr double kNeverBackS = 1e5;      // longer than any run
 constexpr int kMostShedPerStep = 8;      // connections
@@ -78,13 +78,13 @@
 
 void EndpointSimulator::respond(Index index, Outcome outcome) {
   const SimulatedConnection& connection = state_.connections[index];
-  const Tenths one_way = state_.draw_node_delay(connection.node, connection.endpoint);
+  const Duration one_way = state_.draw_node_delay(connection.node, connection.endpoint);
   state_.schedule(state_.now() + one_way, AttemptResultArrives{index, outcome});
 }
 
 void EndpointSimulator::schedule_setup_work(Index index) {
   SimulatedEndpoint& endpoint = state_.endpoints[index];
-  const Tenths next = endpoint.model.next();
+  const TimePoint next = endpoint.model.next();
   const bool already_scheduled =
       endpoint.setup_due && *endpoint.setup_due >= state_.now() && *endpoint.setup_due <= next;
   if (already_scheduled || endpoint.setups.empty()) {
@@ -131,7 +131,7 @@
   connection.load = current_load(index);
   endpoint.model.stand(connection.load, state_.session(connection.client).group);
   endpoint.established.push_back(index);
-  const Tenths one_way = state_.draw_node_delay(connection.node, connection.endpoint);
+  const Duration one_way = state_.draw_node_delay(connection.node, connection.endpoint);
   state_.schedule(state_.now() + one_way, EstablishedArrives{index});
   if (state_.scenario.swing > 0) {
     state_.schedule(state_.now() + from_seconds(state_.scenario.change_s), ConnectionLoadChanges{index});
@@ -164,9 +164,10 @@
 void EndpointSimulator::report_load(Index index) {
   const SimulatedConnection& connection = state_.connections[index];
   const Index node = connection.node;
-  Event& event =
-      parts_.nodes.add_event(node, EventKind::load_told, state_.request_id(connection), connection.endpoint);
-  event.figure = connection.load / state_.scenario.per_core * kMicroseconds;
+  parts_.nodes.add_event(node,
+                         LoadReported{.request_id = state_.request_id(connection),
+                                      .endpoint = state_.plan.hosts[connection.endpoint].id,
+                                      .work = connection.load / state_.scenario.per_core * kMicroseconds});
   parts_.nodes.run_policy(node);
 }
 
--- a/src/emulator/sim/event_queue.cpp
+++ b/src/emulator/sim/event_queue.cpp
@@ -4,11 +4,11 @@
 
 namespace dapplewharf::emulator {
 
-void EventQueue::schedule(Tenths when, SimEvent event) {
+void EventQueue::schedule(TimePoint when, SimEvent event) {
   entries_.push({std::max(when, now_), ++next_sequence_, event});
 }
 
-bool EventQueue::has_event_until(Tenths last) const {
+bool EventQueue::has_event_until(TimePoint last) const {
   return !entries_.empty() && entries_.top().when <= last;
 }
 
--- a/src/emulator/sim/event_queue.h
+++ b/src/emulator/sim/event_queue.h
@@ -13,23 +13,23 @@
 class EventQueue {
  public:
   /// The virtual time since the run began.
-  Tenths now() const { return now_; }
+  TimePoint now() const { return now_; }
 
   /// Schedules an event; a time in the past counts as now.
-  void schedule(Tenths when, SimEvent event);
+  void schedule(TimePoint when, SimEvent event);
 
   /// Whether an event is due at `last` or before.
-  bool has_event_until(Tenths last) const;
+  bool has_event_until(TimePoint last) const;
 
   /// Removes the next event and sets the clock to its time. The queue must not be empty.
   SimEvent take_next();
 
   /// Sets the clock to the end of the run.
-  void advance_to(Tenths when) { now_ = when; }
+  void advance_to(TimePoint when) { now_ = when; }
 
  private:
   struct Entry {
-    Tenths when;
+    TimePoint when;
     std::uint64_t sequence;
     SimEvent event;
   };
@@ -39,7 +39,7 @@
     }
   };
 
-  Tenths now_ = 0;
+  TimePoint now_ = 0;
   std::uint64_t next_sequence_ = 0;
   std::priority_queue<Entry, std::vector<Entry>, Later> entries_;
 };
--- a/src/emulator/sim/health_check_simulator.cpp
+++ b/src/emulator/sim/health_check_simulator.cpp
@@ -7,7 +7,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kResponseTimeout = 50 * kMs;  // on top of the time to connect
+constexpr Duration kResponseTimeout = 50 * kMs;  // on top of the time to connect
 constexpr std::uint64_t kFailureDraw = 0x9b0be;
 
 }  // namespace
@@ -25,8 +25,8 @@
                                   .endpoint_incarnation = target.incarnation,
                                   .started = state_.now()});
   ++state_.result.probes;
-  const Tenths one_way = state_.draw_node_delay(node, *endpoint);
-  const Tenths timeout = from_milliseconds(state_.scenario.connect_ms) + kResponseTimeout;
+  const Duration one_way = state_.draw_node_delay(node, *endpoint);
+  const Duration timeout = from_milliseconds(state_.scenario.connect_ms) + kResponseTimeout;
   const bool reachable =
       target.condition != EndpointCondition::vanished && !state_.responses_lost(node, *endpoint);
   const Outcome timeout_outcome = reachable ? Outcome::timed_out : Outcome::connect_failed;
@@ -48,12 +48,12 @@
     return;
   }
   const bool fails = fixed_share(state_.seed, kFailureDraw + event.health_check) < endpoint.failing_share;
-  Tenths response_time = 0;
+  Duration response_time = 0;
   if (!fails) {
     endpoint.model.advance(state_.now());
     response_time = from_milliseconds(endpoint.model.probe_ms());
   }
-  const Tenths one_way = state_.draw_node_delay(check.node, check.endpoint);
+  const Duration one_way = state_.draw_node_delay(check.node, check.endpoint);
   state_.schedule(state_.now() + response_time + one_way,
                   HealthCheckEnds{event.health_check, fails ? Outcome::error : Outcome::succeeded});
 }
@@ -73,9 +73,10 @@
   if (!state_.nodes[node].alive || state_.nodes[node].incarnation != check.node_incarnation) {
     return;
   }
-  Event& ended = parts_.nodes.add_event(node, EventKind::probe_ended, "", check.endpoint);
-  ended.outcome = event.outcome;
-  ended.took = state_.now() - check.started;
+  parts_.nodes.add_event(node, HealthCheckEnded{.endpoint = state_.plan.hosts[check.endpoint].id,
+                                                .outcome = event.outcome,
+                                                .duration = state_.now() - check.started,
+                                                .report = {}});
   parts_.nodes.run_policy(node);
 }
 
--- a/src/emulator/sim/measurements.cpp
+++ b/src/emulator/sim/measurements.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kServiceStepS = static_cast<double>(kServiceStep) / kSecond;
-constexpr Tenths kNodeReportInterval = kSecond;
+constexpr Duration kNodeReportInterval = kSecond;
 /// Latencies over this share of the shortest message latency objective are reported.
 constexpr double kReportedObjectiveShare = 1.0 / 3;
 /// The share of that objective that a node takes a message to need on an idle endpoint.
@@ -35,7 +35,7 @@
 }
 
 void Measurements::handle(const ServiceMeasured&) {
-  const Tenths now = state_.now();
+  const TimePoint now = state_.now();
   const double step_began_s = to_seconds(now - kServiceStep);
   Second& second = state_.result.second(step_began_s);
   Service service;
@@ -164,7 +164,9 @@
       continue;
     }
     node.slow_endpoints[index] = slow;
-    parts_.nodes.add_event(node_index, EventKind::delay_told, "", index).figure = latency_ms * kMs;
+    parts_.nodes.add_event(node_index, LatencyReported{.request_id = "",
+                                                       .endpoint = state_.plan.hosts[index].id,
+                                                       .latency = latency_ms * kMs});
   }
   parts_.nodes.run_policy(node_index);
 }
@@ -180,13 +182,15 @@
     if (responds || !open_at_node || !state_.node_runs(connection)) {
       continue;
     }
-    const Tenths since = std::max({endpoint.condition_since, connection.started, link_cut_since(connection)});
-    const Tenths stalled_for = (state_.now() - since) / kNodeReportInterval * kNodeReportInterval;
+    const TimePoint since =
+        std::max({endpoint.condition_since, connection.started, link_cut_since(connection)});
+    const Duration stalled_for = (state_.now() - since) / kNodeReportInterval * kNodeReportInterval;
     if (stalled_for <= 0) {
       continue;
     }
-    Event& event = parts_.nodes.add_event(node, EventKind::unanswered, state_.request_id(connection), index);
-    event.figure = static_cast<double>(stalled_for);
+    parts_.nodes.add_event(node, RequestStalled{.request_id = state_.request_id(connection),
+                                                .endpoint = state_.plan.hosts[index].id,
+                                                .unanswered_for = stalled_for});
     parts_.nodes.run_policy(node);
   }
 }
@@ -204,8 +208,8 @@
   return waited > kHealthCheckNoiseMs ? std::max(waited, stretched) : waited;
 }
 
-Tenths Measurements::link_cut_since(const SimulatedConnection& connection) const {
-  Tenths since = 0;
+TimePoint Measurements::link_cut_since(const SimulatedConnection& connection) const {
+  TimePoint since = 0;
   for (const PlannedFault& planned : state_.plan.faults) {
     const Fault& fault = planned.fault;
     const bool cuts_links = fault.kind == FaultKind::zone_cut || fault.kind == FaultKind::one_way;
--- a/src/emulator/sim/measurements.h
+++ b/src/emulator/sim/measurements.h
@@ -35,7 +35,7 @@
   void report_latencies(Index node);
   void report_stalled_requests(Index endpoint);
   double latency_by_health_checks(Index endpoint) const;
-  Tenths link_cut_since(const SimulatedConnection& connection) const;
+  TimePoint link_cut_since(const SimulatedConnection& connection) const;
 
   SimulationParts& parts_;
   SimulationState& state_;
--- a/src/emulator/sim/network_links.cpp
+++ b/src/emulator/sim/network_links.cpp
@@ -7,7 +7,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kRetransmissionDelay = 200 * kMs;
+constexpr Duration kRetransmissionDelay = 200 * kMs;
 
 }  // namespace
 
@@ -17,18 +17,18 @@
       cuts_(scenario.zones.size() * scenario.zones.size(), 0),
       one_way_cuts_(cuts_) {}
 
-Tenths NetworkLinks::draw_delay(double milliseconds) {
+Duration NetworkLinks::draw_delay(double milliseconds) {
   const bool lost = scenario_.loss > 0 && draws_.share() < scenario_.loss;
-  const Tenths retransmission = lost ? kRetransmissionDelay : 0;
+  const Duration retransmission = lost ? kRetransmissionDelay : 0;
   const double with_jitter = milliseconds * (1 + scenario_.jitter * draws_.share());
-  return retransmission + std::max<Tenths>(1, from_milliseconds(with_jitter));
+  return retransmission + std::max<Duration>(1, from_milliseconds(with_jitter));
 }
 
-Tenths NetworkLinks::draw_node_delay(int endpoint_zone, int node_zone) {
+Duration NetworkLinks::draw_node_delay(int endpoint_zone, int node_zone) {
   return draw_delay(endpoint_zone == node_zone ? scenario_.same_ms : scenario_.cross_ms);
 }
 
-Tenths NetworkLinks::draw_client_delay() {
+Duration NetworkLinks::draw_client_delay() {
   return draw_delay(scenario_.client_ms);
 }
 
--- a/src/emulator/sim/network_links.h
+++ b/src/emulator/sim/network_links.h
@@ -14,11 +14,11 @@
   NetworkLinks(const Scenario& scenario, std::uint64_t seed);
 
   /// Draws a delay of `milliseconds` with jitter, and with a retransmission where the packet is lost.
-  Tenths draw_delay(double milliseconds);
+  Duration draw_delay(double milliseconds);
   /// Draws the one-way delay between a node and an endpoint.
-  Tenths draw_node_delay(int endpoint_zone, int node_zone);
+  Duration draw_node_delay(int endpoint_zone, int node_zone);
   /// Draws the one-way delay between a client and its node.
-  Tenths draw_client_delay();
+  Duration draw_client_delay();
 
   /// Whether nothing passes between an endpoint and a node, in either direction.
   bool is_cut(int endpoint_zone, int node_zone) const;
--- a/src/emulator/sim/node_simulator.cpp
+++ b/src/emulator/sim/node_simulator.cpp
@@ -11,12 +11,13 @@
 #include "emulator/sim/endpoint_list_service.h"
 #include "emulator/sim/health_check_simulator.h"
 #include "emulator/sim/sim_time.h"
+#include "policy/flat_words.h"
 
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kFrontRemovalDelay = 300 * kMs;
-constexpr Tenths kFrontAdditionDelay = 500 * kMs;
+constexpr Duration kFrontRemovalDelay = 300 * kMs;
+constexpr Duration kFrontAdditionDelay = 500 * kMs;
 constexpr double kCannotServe = 1e7;  // a load that no endpoint reaches
 constexpr double kColdPenalty = 0.5;
 constexpr double kLeastCapacity = 1e-6;
@@ -32,11 +33,12 @@
   ++node.incarnation;
   std::fill(node.established.begin(), node.established.end(), 0);
   std::fill(node.slow_endpoints.begin(), node.slow_endpoints.end(), false);
-  const SettingsMap settings = settings_of(env_of(state_.scenario, state_.plan, static_cast<int>(index)));
+  const nlohmann::json environment = env_of(state_.scenario, state_.plan, static_cast<int>(index));
+  const Settings settings = settings_from_map(settings_of(environment));
   const std::uint64_t seed =
       XXH64(&index, sizeof index, state_.seed + static_cast<std::uint64_t>(node.incarnation));
-  node.policy = policy_of(state_.policy_name, settings, seed, kPolicyClockAtStart + state_.now(),
-                          [this](const std::string& endpoint) { return true_load(endpoint); });
+  node.policy = make_policy(state_.policy_name, settings, seed, kPolicyClockAtStart + state_.now(),
+                            [this](const std::string& endpoint) { return true_load(endpoint); });
   state_.audit.node_new(static_cast<int>(index));
   parts_.list_service.deliver_cached_list(index);
   run_policy(index);
@@ -56,15 +58,8 @@
          (model.cold() ? kColdPenalty : 0);
 }
 
-Event& NodeSimulator::add_event(Index node, EventKind kind, const std::string& id,
-                                std::optional<Index> endpoint) {
-  Event& event = state_.nodes[node].pending_events.emplace_back();
-  event.kind = kind;
-  event.id = id;
-  if (endpoint) {
-    event.host = state_.plan.hosts[*endpoint].id;
-  }
-  return event;
+void NodeSimulator::add_event(Index node, PolicyEvent event) {
+  state_.nodes[node].pending_events.push_back(std::move(event));
 }
 
 void NodeSimulator::run_policy(Index index) {
@@ -73,49 +68,55 @@
     return;
   }
   while (node.alive && !node.pending_events.empty()) {
-    const std::vector<Event> events = std::exchange(node.pending_events, {});
-    for (const Action& action : node.policy->handle_events(kPolicyClockAtStart + state_.now(), events)) {
-      perform(index, action);
+    const std::vector<PolicyEvent> events = std::exchange(node.pending_events, {});
+    for (const PolicyAction& action :
+         node.policy->handle_events(kPolicyClockAtStart + state_.now(), events)) {
+      std::visit([this, index](const auto& one) { perform(index, one); }, action);
     }
   }
   node.policy_running = false;
 }
 
-void NodeSimulator::perform(Index node, const Action& action) {
-  switch (action.kind) {
-    case ActionKind::setup_try:
-      return parts_.connections.begin_attempt(node, action);
-    case ActionKind::cancel_try:
-      return cancel_attempt(action);
-    case ActionKind::reject:
-      return answer(action.id, Reply::busy, static_cast<double>(action.time / kMs));
-    case ActionKind::scrap:
-      return answer(action.id, Reply::other, 0);
-    case ActionKind::move:
-      return migrate(action);
-    case ActionKind::probe:
-      return parts_.health_checks.begin(node, action.host);
-    case ActionKind::set_alarm:
-      return state_.schedule(state_.now() + std::max<Tenths>(action.time, 1),
-                             PolicyTimerFires{node, action.number, state_.nodes[node].incarnation});
-    case ActionKind::subscribe:
-      return parts_.list_service.request_list(node, true);
-    case ActionKind::fetch_list:
-      return parts_.list_service.request_list(node, false);
-    case ActionKind::log:
-      return;
-  }
+void NodeSimulator::perform(Index node, const StartAttempt& action) {
+  parts_.connections.begin_attempt(node, action);
+}
+
+void NodeSimulator::perform(Index, const RejectRequest& action) {
+  answer(action.request_id, Reply::busy, static_cast<double>(action.retry_after / kMs));
+}
+
+void NodeSimulator::perform(Index, const FailRequest& action) {
+  answer(action.request_id, Reply::other, 0);
+}
+
+void NodeSimulator::perform(Index node, const CheckHealth& action) {
+  parts_.health_checks.begin(node, action.endpoint);
 }
 
-void NodeSimulator::cancel_attempt(const Action& action) {
-  const std::optional<Index> client = state_.find_request(action.id);
+void NodeSimulator::perform(Index node, const SetTimer& action) {
+  state_.schedule(state_.now() + std::max<Duration>(action.delay, 1),
+                  PolicyTimerFires{node, action.timer, state_.nodes[node].incarnation});
+}
+
+void NodeSimulator::perform(Index node, const WatchEndpoints&) {
+  parts_.list_service.request_list(node, true);
+}
+
+void NodeSimulator::perform(Index node, const FetchEndpoints&) {
+  parts_.list_service.request_list(node, false);
+}
+
+void NodeSimulator::perform(Index, const LogMessage&) {}
+
+void NodeSimulator::perform(Index, const CancelAttempt& action) {
+  const std::optional<Index> client = state_.find_request(action.request_id);
   if (client && state_.clients[*client].connection) {
     parts_.connections.close(*state_.clients[*client].connection, Outcome::cancelled, false);
   }
 }
 
-void NodeSimulator::migrate(const Action& action) {
-  const std::optional<Index> client = state_.find_request(action.id);
+void NodeSimulator::perform(Index, const MigrateConnection& action) {
+  const std::optional<Index> client = state_.find_request(action.request_id);
   if (!client) {
     return;
   }
@@ -142,7 +143,7 @@
   if (!node.alive || node.incarnation != event.incarnation) {
     return;
   }
-  add_event(event.node, EventKind::alarm).number = event.timer;
+  add_event(event.node, TimerFired{event.timer});
   run_policy(event.node);
 }
 
@@ -153,13 +154,13 @@
   state_.schedule(state_.now() + from_seconds(state_.scenario.notice_s), FrontChecksNode{node});
 }
 
-void NodeSimulator::stop(Index index, Tenths restart_after) {
+void NodeSimulator::stop(Index index, Duration restart_after) {
   SimulatedNode& node = state_.nodes[index];
   node.stopping = true;
   node.stop_requested = state_.now();
-  add_event(index, EventKind::stopping);
+  add_event(index, ShutdownStarted{});
   run_policy(index);
-  const Tenths restart = std::max(restart_after, kNodeShutdownTime + kServiceStep);
+  const Duration restart = std::max(restart_after, kNodeShutdownTime + kServiceStep);
   state_.schedule(state_.now() + kFrontRemovalDelay, FrontRemovesNode{index});
   state_.schedule(state_.now() + kNodeShutdownTime, NodeExits{index, node.incarnation});
   state_.schedule(state_.now() + restart, NodeRestarts{index});
--- a/src/emulator/sim/node_simulator.h
+++ b/src/emulator/sim/node_simulator.h
@@ -22,11 +22,10 @@
   void kill(Index node);
   /// Tells a node to stop; it exits after kNodeShutdownTime and restarts.
   /// @param restart_after since now, at the earliest just after the exit.
-  void stop(Index node, Tenths restart_after);
+  void stop(Index node, Duration restart_after);
 
-  /// Appends an event for a node's policy; the reference holds until the next call.
-  Event& add_event(Index node, EventKind kind, const std::string& id = "",
-                   std::optional<Index> endpoint = std::nullopt);
+  /// Appends an event for a node's policy, which gets it when run_policy is called.
+  void add_event(Index node, PolicyEvent event);
 
   /// Hands the pending events to a node's policy and carries out its actions until no event is left. A call
   /// from within a turn leaves the events to that turn.
@@ -34,9 +33,16 @@
 
  private:
   double true_load(const std::string& endpoint) const;
-  void perform(Index node, const Action& action);
-  void cancel_attempt(const Action& action);
-  void migrate(const Action& action);
+  void perform(Index node, const StartAttempt& action);
+  void perform(Index node, const CancelAttempt& action);
+  void perform(Index node, const RejectRequest& action);
+  void perform(Index node, const FailRequest& action);
+  void perform(Index node, const MigrateConnection& action);
+  void perform(Index node, const CheckHealth& action);
+  void perform(Index node, const SetTimer& action);
+  void perform(Index node, const WatchEndpoints& action);
+  void perform(Index node, const FetchEndpoints& action);
+  void perform(Index node, const LogMessage& action);
   void answer(const std::string& request_id, Reply reply, double retry_after_ms);
   void end_process(Index node);
   void drop_connections(Index node, Ended how);
--- a/src/emulator/sim/policy.h
+++ b/src/emulator/sim/policy.h
@@ -1,42 +1,58 @@
-// Who decides in a simulated run: the project's module, the baselines that only the fleet has, and policies
-// with one defect each, which show that the auditor can fail. A policy gets what the module gets and answers
-// in its words.
+// Who decides in a simulated run: the project's load balancer, the baselines that only the emulator has, and
+// policies with one defect each, which show that the auditor can fail. Owns the names of all policies. See
+// docs/emulator.md.
 #pragma once
 #include <functional>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "policy/load_balancer.h"
+#include "policy/actions.h"
+#include "policy/events.h"
+#include "policy/settings.h"
 
 namespace dapplewharf::emulator {
 
+/// The decisions of one node, with the interface of LoadBalancer.
 class Policy {
  public:
   virtual ~Policy() = default;
-  virtual std::vector<Action> handle_events(Tenths now, const std::vector<Event>& events) = 0;
+
+  /// Decides on a batch of events, in their order.
+  /// @param now monotonic time in ticks of 0.1 ms.
+  /// @return the actions to carry out, in order.
+  virtual std::vector<PolicyAction> handle_events(TimePoint now, const std::vector<PolicyEvent>& events) = 0;
 };
 
-// A defect of the node around the policy, carried out by the driver.
+/// A defect that a node has on purpose.
 enum class NodeDefect {
   none,
   drops_answer,
   answers_twice,
-  two_tries,
-  ignores_drain,
-  heaps_on_cold,
+  two_tries,      // sends a duplicate of an attempt to another endpoint
+  ignores_drain,  // prefers draining endpoints
+  heaps_on_cold,  // prefers endpoints that have just started
   changes_bytes,
-  cuts_off
+  cuts_off  // closes a connection without telling its client to move
 };
 
-// What the policy that knows the truth is told: a host's load over its capacity now; over 1e6 if it can't
-// serve.
-using Truth = std::function<double(const std::string& host)>;
+/// An endpoint's load over its capacity, as the model has it; over kCannotServeLoad if it cannot serve.
+using TrueLoad = std::function<double(const std::string& endpoint)>;
+constexpr double kCannotServeLoad = 1e6;
 
 std::vector<std::string> policy_names();
-void check_policy(const std::string& name);  // throws BadInput where there is none such
-NodeDefect node_defect_of(const std::string& name);
-std::unique_ptr<Policy> policy_of(const std::string& name, const SettingsMap& settings, std::uint64_t seed,
-                                  Tenths now, Truth truth);
+
+/// Throws BadInput where no policy has this name.
+void check_policy(const std::string& name);
+
+NodeDefect node_defect_of(const std::string& policy_name);
+
+/// Makes the policy of one node.
+/// @param name one of policy_names().
+/// @param seed of all chance that the policy draws.
+/// @param now monotonic time in ticks of 0.1 ms.
+/// @param true_load asked by the one baseline that knows the truth.
+std::unique_ptr<Policy> make_policy(const std::string& name, const Settings& settings, std::uint64_t seed,
+                                    TimePoint now, TrueLoad true_load);
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/sim/sim_event.h
+++ b/src/emulator/sim/sim_event.h
@@ -5,7 +5,7 @@
 #include <variant>
 
 #include "emulator/model/plan.h"
-#include "policy/words.h"
+#include "policy/events.h"
 
 namespace dapplewharf::emulator {
 
--- a/src/emulator/sim/sim_time.h
+++ b/src/emulator/sim/sim_time.h
@@ -5,15 +5,15 @@
 namespace dapplewharf::emulator {
 
 /// What the policies' clock shows when a run begins.
-constexpr Tenths kPolicyClockAtStart = 1000 * kSecond;
+constexpr TimePoint kPolicyClockAtStart = 1000 * kSecond;
 
-constexpr Tenths from_seconds(double seconds) {
-  return static_cast<Tenths>(seconds * kSecond);
+constexpr Duration from_seconds(double seconds) {
+  return static_cast<Duration>(seconds * kSecond);
 }
-constexpr Tenths from_milliseconds(double milliseconds) {
-  return static_cast<Tenths>(milliseconds * kMs);
+constexpr Duration from_milliseconds(double milliseconds) {
+  return static_cast<Duration>(milliseconds * kMs);
 }
-constexpr double to_seconds(Tenths time) {
+constexpr double to_seconds(Duration time) {
   return static_cast<double>(time) / kSecond;
 }
 
--- a/src/emulator/sim/simulation.cpp
+++ b/src/emulator/sim/simulation.cpp
@@ -39,7 +39,7 @@
   void start_endpoints();
   void start_nodes();
   void schedule_plan();
-  Tenths end_of_answers() const;
+  TimePoint end_of_answers() const;
   void dispatch(const SimEvent& event);
 
   SimulationState state_;
@@ -65,7 +65,7 @@
   start_nodes();
   schedule_plan();
   measurements_.start();
-  const Tenths last = end_of_answers();
+  const TimePoint last = end_of_answers();
   while (state_.queue.has_event_until(last)) {
     dispatch(state_.queue.take_next());
   }
@@ -106,7 +106,7 @@
   }
 }
 
-Tenths Simulation::end_of_answers() const {
+TimePoint Simulation::end_of_answers() const {
   double longest_deadline_ms = 0;
   for (const Traffic& type : state_.scenario.traffic) {
     longest_deadline_ms = std::max(longest_deadline_ms, type.expiry_ms);
--- a/src/emulator/sim/simulation_state.cpp
+++ b/src/emulator/sim/simulation_state.cpp
@@ -75,7 +75,7 @@
   return node.alive && node.incarnation == connection.node_incarnation;
 }
 
-Tenths SimulationState::draw_node_delay(Index node, Index endpoint) {
+Duration SimulationState::draw_node_delay(Index node, Index endpoint) {
   return network.draw_node_delay(zone_of_endpoint(endpoint), nodes[node].zone);
 }
 
--- a/src/emulator/sim/simulation_state.h
+++ b/src/emulator/sim/simulation_state.h
@@ -18,9 +18,9 @@
 namespace dapplewharf::emulator {
 
 /// How long a node that was told to stop goes on until it exits.
-constexpr Tenths kNodeShutdownTime = 3600 * kMs;
+constexpr Duration kNodeShutdownTime = 3600 * kMs;
 /// Service is counted in steps of this length.
-constexpr Tenths kServiceStep = 100 * kMs;
+constexpr Duration kServiceStep = 100 * kMs;
 
 enum class EndpointCondition {
   up,
@@ -37,13 +37,13 @@
   EndpointCondition condition = EndpointCondition::up;
   bool draining = false;
   bool listed = true;
-  bool overwhelmed = false;         // fell over under too much load while cold; it does not come back
-  double failing_share = 0;         // of requests
-  int hang_faults = 0;              // that hold its setups now
-  std::string drain_pace;           // as the scenario names it
-  Tenths started = 0;               // 0: before the run
-  Tenths condition_since = 0;       // when it fell silent, vanished or went down
-  std::optional<Tenths> setup_due;  // when it next looks at its setup queue
+  bool overwhelmed = false;            // fell over under too much load while cold; it does not come back
+  double failing_share = 0;            // of requests
+  int hang_faults = 0;                 // that hold its setups now
+  std::string drain_pace;              // as the scenario names it
+  TimePoint started = 0;               // 0: before the run
+  TimePoint condition_since = 0;       // when it fell silent, vanished or went down
+  std::optional<TimePoint> setup_due;  // when it next looks at its setup queue
   int incarnation = 0;
   std::map<HostModel::Work, Index> setups;  // connections that are being set up
   std::vector<Index> established;           // connections, in the order in which they were established
@@ -61,11 +61,11 @@
   bool stopping = false;
   bool in_front = true;  // the front sends clients to it
   bool watches_list = false;
-  Tenths list_requested = 0;  // when it last asked for the list
-  Tenths stop_requested = 0;
-  std::vector<int> established;       // connections, by endpoint
-  std::vector<bool> slow_endpoints;   // whose latency its last report named
-  std::vector<Event> pending_events;  // for its policy
+  TimePoint list_requested = 0;  // when it last asked for the list
+  TimePoint stop_requested = 0;
+  std::vector<int> established;             // connections, by endpoint
+  std::vector<bool> slow_endpoints;         // whose latency its last report named
+  std::vector<PolicyEvent> pending_events;  // for its policy
   bool policy_running = false;
 };
 
@@ -82,7 +82,7 @@
   std::optional<Index> node;
   std::optional<Index> connection;
   int node_incarnation = 0;
-  Tenths request_sent = 0;
+  TimePoint request_sent = 0;
 };
 
 /// An attempt, and the connection that it becomes.
@@ -94,7 +94,7 @@
   int request_number;
   int endpoint_incarnation;
   int node_incarnation;
-  Tenths started;
+  TimePoint started;
   bool line_sent = false;
   bool closed = false;  // at the node
   bool at_endpoint = false;
@@ -109,7 +109,7 @@
   Index endpoint;
   int node_incarnation;
   int endpoint_incarnation;
-  Tenths started;
+  TimePoint started;
   bool ended = false;
 };
 
@@ -119,9 +119,9 @@
   /// @param policy_name one of policy_names().
   SimulationState(const Scenario& scenario, std::uint64_t seed, const std::string& policy_name);
 
-  Tenths now() const { return queue.now(); }
+  TimePoint now() const { return queue.now(); }
   /// Schedules an event for a time of the run.
-  void schedule(Tenths when, SimEvent event) { queue.schedule(when, event); }
+  void schedule(TimePoint when, SimEvent event) { queue.schedule(when, event); }
 
   const Session& session(Index client) const { return plan.sessions[client]; }
   const Traffic& traffic_type(Index client) const;
@@ -138,7 +138,7 @@
   bool node_runs(const SimulatedConnection& connection) const;
   bool is_up(Index endpoint) const { return endpoints[endpoint].condition == EndpointCondition::up; }
 
-  Tenths draw_node_delay(Index node, Index endpoint);
+  Duration draw_node_delay(Index node, Index endpoint);
   bool is_cut(Index node, Index endpoint) const;
   bool responses_lost(Index node, Index endpoint) const;
 
@@ -153,7 +153,7 @@
   const std::string policy_name;
   const NodeDefect defect;
   const Plan plan;
-  const Tenths end;  // of the arrivals
+  const TimePoint end;  // of the arrivals
   Audit audit;
   EventQueue queue;
   NetworkLinks network;
