--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -1,3 +1,4 @@
+// Reading and checking of configuration files; what they say is docs/configuration.md.
 #include "node/configuration.h"
 
 #include <algorithm>
@@ -17,7 +18,9 @@
 namespace dapplewharf {
 namespace {
 
-std::string told(const json& from, Source source, const char* variable, const char* name) {
+constexpr double kLargestLimit = 1e7;
+
+std::string required_text(const json& from, Source source, const char* variable, const char* name) {
   const char* value = source == Source::environment_first ? std::getenv(variable) : nullptr;
   if (value && *value) {
     return value;
@@ -35,7 +38,7 @@
   using std::runtime_error::runtime_error;
 };
 
-json platform_file(const std::string& path) {
+json read_platform_file(const std::string& path) {
   if (path.empty()) {
     throw std::runtime_error("PROXY_CONFIG is not set");
   }
@@ -54,8 +57,8 @@
   return from;
 }
 
-// Where some words first stand in a file, as FILE:LINE:COLUMN: ; for what a reader of JSON no longer knows.
-std::string place_of(const std::string& path, const std::string& words) {
+// Where `words` first stand in a file, as "FILE:LINE:COLUMN: "; empty where they do not.
+std::string location_of(const std::string& path, const std::string& words) {
   std::ifstream file(path);
   std::string line;
   for (int number = 1; std::getline(file, line); ++number) {
@@ -66,8 +69,8 @@
   return "";
 }
 
-// Danger: half a budget of further tries would be none, or one that nothing can be sent within.
-void budget_holds(const json& from, const std::string& path) {
+// Throws where the retry budget is given in part only: it would be none, or one that permits nothing.
+void check_retry_budget(const json& from, const std::string& path) {
   const json guarantees = from.value("/settings/guarantees"_json_pointer, json::object());
   const char* const names[] = {"extraFloor", "repeatRatio", "countedOverMs"};
   for (const char* name : names) {
@@ -77,7 +80,7 @@
     const json& value = guarantees[name];
     const bool span = std::string(name) == "countedOverMs";
     std::string begin = name;
-    begin = place_of(path, '"' + begin + '"').append("'").append(begin).append("' ");
+    begin = location_of(path, '"' + begin + '"').append("'").append(begin).append("' ");
     if (!value.is_number() || value.get<double>() < 0 || (span && value.get<double>() < 1)) {
       throw std::runtime_error(begin + "is " + value.dump() + "; expected a number" +
                                (span ? " of milliseconds, 1 at the least" : ", not below 0"));
@@ -91,29 +94,29 @@
   }
 }
 
-// Danger: a flag that is none would let this node send to hosts that are gone, or keep it from those that are
-// not; a meaning of weights that is none would be taken for another.
-void settings_hold(const json& from, const std::string& path) {
+// Throws on a flag or a meaning of weights that is not one: taken for another it would let this node send to
+// hosts that are gone, or keep it from those that are not.
+void check_settings(const json& from, const std::string& path) {
   const json weights = from.value("/settings/weights"_json_pointer, json("nominal"));
   if (weights != "silent" && weights != "nominal" && weights != "rough" && weights != "live") {
-    throw std::runtime_error(place_of(path, "\"weights\"") + "'weights' is " + weights.dump() +
+    throw std::runtime_error(location_of(path, "\"weights\"") + "'weights' is " + weights.dump() +
                              "; expected silent, nominal, rough or live");
   }
   const json price = from.value("/settings/charges/probe"_json_pointer, json(0));
   if (!price.is_number() || price.get<double>() < 0) {
-    throw std::runtime_error(place_of(path, "\"probe\"") + "'probe' is " + price.dump() +
+    throw std::runtime_error(location_of(path, "\"probe\"") + "'probe' is " + price.dump() +
                              "; expected a number of points, not below 0");
   }
   const json flag = from.value("/settings/guarantees/drainBindsAlone"_json_pointer, json(false));
   if (!flag.is_boolean()) {
-    throw std::runtime_error(place_of(path, "\"drainBindsAlone\"") + "'drainBindsAlone' is " + flag.dump() +
-                             "; expected true or false");
+    throw std::runtime_error(location_of(path, "\"drainBindsAlone\"") + "'drainBindsAlone' is " +
+                             flag.dump() + "; expected true or false");
   }
-  budget_holds(from, path);
+  check_retry_budget(from, path);
 }
 
-// Danger: a file that is half right is not taken by halves.
-config::Document good_one(const std::string& path, config::Use use) {
+// Throws the first error of a file in the language: a file is taken whole or not at all.
+config::Document load_checked(const std::string& path, config::Use use) {
   config::Document document = config::load(path, use);
   std::size_t errors = 0;
   const config::Fault* first = nullptr;
@@ -130,7 +133,7 @@
       (errors > 1 ? " (and " + std::to_string(errors - 1) + " more; --check tells all)" : ""));
 }
 
-void take_log(const config::Document& document, LogSettings& to) {
+void apply_log(const config::Document& document, LogSettings& to) {
   const config::Block* log = document.find("log");
   if (log) {
     to = {log->word("format") == "json", log->word("level"), log->word("decisions")};
@@ -138,7 +141,7 @@
 }
 
 // The settings of another shape, to be watched: of a file in the language or of one like the platform's.
-json shadow_settings(const std::string& path) {
+json read_shadow_settings(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
     throw std::runtime_error(path + ":0:0: the settings to watch cannot be read; expected a file");
@@ -147,7 +150,7 @@
   const std::size_t first = text.find_first_not_of(" \t\r\n");
   json from;
   if (first == std::string::npos || text[first] != '{') {
-    from = config::render(good_one(path, config::Use::sidecar));
+    from = config::render(load_checked(path, config::Use::sidecar));
   } else {
     try {
       from = json::parse(text);
@@ -158,7 +161,7 @@
                                std::to_string(before.size() - (before.rfind('\n') + 1) + 1) +
                                ": this is no JSON; expected an object with 'settings'");
     }
-    settings_hold(from, path);
+    check_settings(from, path);
   }
   if (!from.contains("settings") || !from["settings"].is_object()) {
     throw std::runtime_error(path + ":1:1: there are no 'settings'; expected an object of that name");
@@ -171,11 +174,57 @@
   return from["settings"];
 }
 
+// Throws where the settings lack a rule; it would otherwise be found out by the requests that break it.
+void check_usable(const json& settings) {
+  try {
+    LoadBalancer(settings_of(settings), 0, 0);
+  } catch (const json::exception& error) {
+    throw std::runtime_error(std::string("'settings' cannot be used: ") + error.what());
+  }
+}
+
+std::uint64_t seed_of(const json& from) {
+  const std::string text =
+      from.contains("seed") && from["seed"].is_string() ? from["seed"].get<std::string>() : "";
+  std::uint64_t seed = 0;
+  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+  if (fault != std::errc() || end != text.data() + text.size()) {
+    throw std::runtime_error("the configuration has no hexadecimal 'seed'");
+  }
+  return seed;
+}
+
+// A limit of the process, in the unit of its name; `otherwise` where the configuration states none.
+double limit_of(const json& from, const std::string& name, double least, double otherwise) {
+  const json value = from.value(json::json_pointer("/limits/" + name), json(otherwise));
+  if (!value.is_number() || value.get<double>() < least || value.get<double>() > kLargestLimit) {
+    throw std::runtime_error("'limits." + name + "' is no number or too small to serve");
+  }
+  return value.get<double>();
+}
+
+// Gossip is a help and no need: what is missing or odd there leaves the node alone, and serving.
+PeerSettings peers_of(const json& from, const json& settings) {
+  PeerSettings to;
+  const bool allowed = settings.value("/bounds/peerMessages"_json_pointer, json(false)) == true;
+  if (!allowed || !from.contains("peers") || !from["peers"].is_array() || !from.contains("peer_listen") ||
+      !from["peer_listen"].is_string()) {
+    return to;
+  }
+  to.listen = from["peer_listen"].get<std::string>();
+  for (const json& peer : from["peers"]) {
+    to.peers.push_back(peer.is_string() ? peer.get<std::string>() : "");
+  }
+  to.me = settings.contains("me") && settings["me"].is_number() ? settings["me"].get<int>() : -1;
+  return to;
+}
+
+// Throws the first thing that is wrong.
 Configuration checked(const json& from, Source source) {
   Configuration to;
-  to.name = told(from, source, "PROXY_NAME", "name");
-  to.listen = told(from, source, "PROXY_LISTEN", "listen");
-  to.discovery = told(from, source, "PROXY_DISCOVERY", "discovery");
+  to.name = required_text(from, source, "PROXY_NAME", "name");
+  to.listen = required_text(from, source, "PROXY_LISTEN", "listen");
+  to.discovery = required_text(from, source, "PROXY_DISCOVERY", "discovery");
   if (!address_of(to.listen)) {
     throw std::runtime_error("'listen' is no address: " + to.listen);
   }
@@ -186,40 +235,14 @@
     throw std::runtime_error("the configuration has no 'settings'");
   }
   to.env = from["settings"];
-  // Danger: settings that lack a rule would be found out only by the attachments that break it.
-  try {
-    LoadBalancer(settings_of(to.env), 0, 0);
-  } catch (const json::exception& error) {
-    throw std::runtime_error(std::string("'settings' cannot be used: ") + error.what());
-  }
-  const std::string seed =
-      from.contains("seed") && from["seed"].is_string() ? from["seed"].get<std::string>() : "";
-  const auto [end, fault] = std::from_chars(seed.data(), seed.data() + seed.size(), to.seed, 16);
-  if (fault != std::errc() || end != seed.data() + seed.size()) {
-    throw std::runtime_error("the configuration has no hexadecimal 'seed'");
-  }
+  check_usable(to.env);
+  to.seed = seed_of(from);
   if (from.contains("known")) {
     to.known = from["known"];
   }
-  const json sockets = from.value("/limits/sockets"_json_pointer, json(1024));
-  if (!sockets.is_number() || sockets.get<double>() < 4 * kKeptBack || sockets.get<double>() > 1e7) {
-    throw std::runtime_error("'limits.sockets' is no number or too small to serve");
-  }
-  to.descriptors = sockets.get<int>();
-  const json memory = from.value("/limits/memory_mb"_json_pointer, json(to.memory_mb));
-  if (!memory.is_number() || memory.get<double>() < 1 || memory.get<double>() > 1e7) {
-    throw std::runtime_error("'limits.memory_mb' is no number or too small to serve");
-  }
-  to.memory_mb = memory.get<double>();
-  // Words between nodes are a help, no need: what is missing or odd there leaves the node alone, and serving.
-  if (to.env.value("/bounds/peerMessages"_json_pointer, json(false)) == true && from.contains("peers") &&
-      from["peers"].is_array() && from.contains("peer_listen") && from["peer_listen"].is_string()) {
-    to.peers.listen = from["peer_listen"].get<std::string>();
-    for (const json& peer : from["peers"]) {
-      to.peers.peers.push_back(peer.is_string() ? peer.get<std::string>() : "");
-    }
-    to.peers.me = to.env.contains("me") && to.env["me"].is_number() ? to.env["me"].get<int>() : -1;
-  }
+  to.descriptors = static_cast<int>(limit_of(from, "sockets", 4 * kKeptBack, to.descriptors));
+  to.memory_mb = limit_of(from, "memory_mb", 1, to.memory_mb);
+  to.peers = peers_of(from, to.env);
   return to;
 }
 
@@ -230,17 +253,17 @@
     LogSettings log;
     json from;
     if (files.language.empty()) {
-      from = platform_file(files.json), settings_hold(from, files.json);
+      from = read_platform_file(files.json), check_settings(from, files.json);
     } else {
-      const config::Document document = good_one(files.language, config::Use::sidecar);
+      const config::Document document = load_checked(files.language, config::Use::sidecar);
       from = config::render(document);
-      take_log(document, log);
+      apply_log(document, log);
       source = Source::file_only;  // the environment is the platform's
     }
     std::string shadow = files.shadow;
     if (!files.operators.empty()) {
-      const config::Document document = good_one(files.operators, config::Use::operators);
-      take_log(document, log);
+      const config::Document document = load_checked(files.operators, config::Use::operators);
+      apply_log(document, log);
       const config::Block* block = document.find("shadow");
       if (block && shadow.empty()) {
         shadow = block->word("settings");
@@ -248,7 +271,7 @@
     }
     Read read{checked(from, source), ""};
     if (!shadow.empty()) {
-      read.taken->shadow = shadow_settings(shadow);
+      read.taken->shadow = read_shadow_settings(shadow);
     }
     read.taken->log = log;
     return read;
--- a/src/node/shutdown.h
+++ b/src/node/shutdown.h
@@ -1,15 +1,5 @@
 // The phases of the node's end after SIGTERM. Owns the times of the shutdown in progress, if any; sends
 // nothing and ends nothing itself. Pure: the caller gives the time. Design: docs/design.md.
-//
-//  | phase                  | from                                | what happens | | ---------------------- |
-//  ----------------------------------- | --------------------------------------------- | | running | start |
-//  requests are served                           | | accepting_late_clients | SIGTERM | as before, each
-//  answered by `answers_due`     | | finishing              | kLateClients after it               | as
-//  before; ends once nothing is in flight     | | closing                | `requests_close_at` | what is in
-//  flight is migrated or failed       | | overdue                | `ends_by`                           |
-//  ends, whatever is in flight                   |
-//
-// A node whose last request ends while it is `closing` ends as in `finishing`.
 #pragma once
 #include <optional>
 
@@ -17,6 +7,16 @@
 
 namespace dapplewharf {
 
+// clang-format off
+// | phase                  | begins               | what is served           | ends the process          |
+// | ---------------------- | -------------------- | ------------------------ | ------------------------- |
+// | running                | at the start         | everything               | never                     |
+// | accepting_late_clients | with SIGTERM         | all, until `answers_due` | never                     |
+// | finishing              | `kLateClients` later | all, until `answers_due` | once nothing is in flight |
+// | closing                | `requests_close_at`  | what is left is migrated | once nothing is in flight |
+// |                        |                      | or failed                |                           |
+// | overdue                | `ends_by`            | nothing                  | at once                   |
+// clang-format on
 enum class ShutdownPhase { running, accepting_late_clients, finishing, closing, overdue };
 
 /// Times are in ticks of 0.1 ms on the event loop's clock.
--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -13,41 +13,37 @@
 
 namespace {
 
-// The typed event of a flat one, for the kinds that a day has.
-PolicyEvent typed(const Event& flat) {
+PolicyAction typed(const Action& flat) {
   switch (flat.kind) {
-    case EventKind::list_copy:
-      return EndpointsCached{flat.listings};
-    case EventKind::list_changes:
-      return EndpointsUpdate{flat.listings};
-    case EventKind::attachment:
-      return RequestReceived{{.id = flat.id,
-                              .traffic_type = flat.traffic_type,
-                              .tenant = flat.tenant,
-                              .client_key = flat.key,
-                              .affinity_group = flat.group,
-                              .deadline = flat.expiry}};
-    case EventKind::established:
-      return AttemptEstablished{flat.id, flat.host, flat.number, flat.took};
-    case EventKind::try_ended:
-      return AttemptEnded{flat.id, flat.host, flat.number, flat.outcome, flat.took, flat.final};
-    case EventKind::delay_told:
-      return LatencyReported{flat.id, flat.host, flat.figure};
-    case EventKind::client_left:
-      return ClientDisconnected{flat.id};
-    case EventKind::alarm:
-      return TimerFired{flat.number};
-    case EventKind::probe_ended:
-      return HealthCheckEnded{flat.host, flat.outcome, flat.took, flat.report};
-    default:
-      ADD_FAILURE() << "a day has no such event: " << static_cast<int>(flat.kind);
-      return EndpointWatchFailed{};
+    case ActionKind::setup_try:
+      return StartAttempt{flat.id, flat.host, flat.time};
+    case ActionKind::cancel_try:
+      return CancelAttempt{flat.id, flat.number};
+    case ActionKind::reject:
+      return RejectRequest{flat.id, flat.time};
+    case ActionKind::scrap:
+      return FailRequest{flat.id};
+    case ActionKind::move:
+      return MigrateConnection{flat.id, flat.host};
+    case ActionKind::probe:
+      return CheckHealth{flat.host};
+    case ActionKind::set_alarm:
+      return SetTimer{flat.number, flat.time};
+    case ActionKind::subscribe:
+      return WatchEndpoints{};
+    case ActionKind::fetch_list:
+      return FetchEndpoints{};
+    case ActionKind::log:
+      break;
   }
+  return LogMessage{flat.text};
 }
 
 std::vector<PolicyAction> typed(const std::vector<Action>& flat) {
   std::vector<PolicyAction> actions;
-  std::transform(flat.begin(), flat.end(), std::back_inserter(actions), from_flat);
+  for (const Action& action : flat) {
+    actions.push_back(typed(action));
+  }
   return actions;
 }
 
@@ -69,7 +65,7 @@
   const std::vector<Action>& tell(const Event& event) override {
     Fake::tell(event);
     if (shadow) {
-      shadow->follow(now, {typed(event)}, typed(last));
+      shadow->follow(now, {from_flat(event)}, typed(last));
     }
     for (const Action& action : last) {
       actions += std::to_string(static_cast<int>(action.kind)) + " " + action.id + " " + action.host + " " +
