--- a/src/policy/messages.h
+++ b/src/policy/messages.h
@@ -17,51 +17,13 @@
 
 #include "base/random.h"
 #include "policy/actions.h"
+#include "policy/endpoint_status.h"
 #include "policy/events.h"
+#include "policy/fleet_statistics.h"
 #include "policy/settings.h"
 
 namespace dapplewharf {
 
-// What a host tells the others of itself.
-struct EndpointStatus {
-  std::string zone, kind;
-  std::int64_t cell = 0;
-  double size = 1;
-  double score = 100;
-  double weight = 1;      // score and ramp together
-  int open = 0;           // connections, with set-ups still out
-  double elsewhere = -1;  // those of all other nodes, as told; below 0: unknown
-  double load = -1;       // over what it can do, as last reported; below 0: not of late
-  bool healthy = false;   // listed and neither draining nor gone
-  Tenths strained = 0;    // until when its messages count as slow,
-  Tenths late = 0;        // as so slow that none is in time,
-  Tenths shedding = 0;    // as dropping connections that stood,
-  Tenths roomy = 0;       // as telling of room,
-  Tenths cold = 0;        // and as cold
-  Tenths due = 0;         // when it wants to be woken
-  bool operator==(const EndpointStatus&) const = default;
-};
-
-// What the roster tells everyone of the fleet.
-struct FleetStatistics {
-  bool frozen = false;
-  double score = 100;       // mean of the others, where a new host starts
-  double crowd_limit = 0;   // new connections a second that a host takes, of the mean; 0: no limit
-  double mean = 0;          // open connections for a size of 1, in this node's own zone
-  double each = 1e9;        // open connections for one host, at least two of all nodes
-  bool alone = false;       // hosts hold next to nothing of this node, and of others nothing is told
-  double held = -1;         // the same of all nodes, as far as told; below 0: unknown
-  double load = -1;         // of hosts over what they can do, as reported of late; below 0: unknown
-  Tenths watch = 0;         // least time between steady probes of a host, for their price
-  int spare = 0;            // moved connections that hosts with room may take in a second
-  double sought = 0;        // how often a host was sought lately, for a size of 1
-  double sought_alike = 0;  // of a seek: how often for its group
-  // Open connections that a warm host of size 1 bears here, by kind; "" over all kinds.
-  std::shared_ptr<const std::map<std::string, double>> bears;
-  bool some_cold = false;
-  double granted = 0;  // open connections for a size of 1 that the tenants' shares allow, of all nodes
-};
-
 // --- to an endpoint ---
 
 /// The endpoint list names this endpoint.
