--- a/src/config/language.cpp
+++ b/src/config/language.cpp
@@ -1,20 +1,16 @@
+// Parses the configuration language with PEGTL: the grammar, the messages for what does not match, and the
+// actions that build the tree. See config/language.h; docs/configuration.md describes the language.
 #include "config/language.h"
 
-#include <algorithm>
-#include <charconv>
-#include <cmath>
 #include <tao/pegtl.hpp>
+#include <utility>
 
 namespace dapplewharf::config {
 namespace {
 
 namespace pegtl = tao::pegtl;
 
-constexpr double kStepMs = 0.1;  // the clock's
-constexpr double kLongestMs = 365.0 * 86400 * 1000;
-constexpr std::size_t kWidest = 100;  // columns, before a list is broken
-
-// --- the grammar: docs/configuration.md has the same rules in EBNF ---
+// The grammar. docs/configuration.md has the same rules in EBNF.
 
 struct comment : pegtl::seq<pegtl::one<'#'>, pegtl::star<pegtl::not_one<'\n', '\r'>>> {};
 struct blank : pegtl::one<' ', '\t', '\r'> {};
@@ -103,6 +99,7 @@
 constexpr const char* expected<pegtl::eof> =
     "this is no setting; expected NAME = VALUE, NAME { } or include \"FILE\"";
 
+/// What the parser has read so far.
 struct State {
   int file = 0;
   std::vector<std::vector<Item>> open{{}};  // the blocks that are open, the file outermost
@@ -116,12 +113,15 @@
 
   Value value() {
     Value out = list ? std::move(*list) : std::move(values.back());
-    list.reset(), values.clear();
+    list.reset();
+    values.clear();
     return out;
   }
   Item& add(Item::Kind kind, Place place, std::string name) {
     Item& made = open.back().emplace_back();
-    made.kind = kind, made.place = place, made.name = std::move(name);
+    made.kind = kind;
+    made.place = place;
+    made.name = std::move(name);
     return made;
   }
 };
@@ -189,8 +189,8 @@
   template <class Input>
   static void apply(const Input& in, State& state) {
     const Scalar scalar = scalar_of(in.string_view());
-    if (!scalar.fault.empty()) {
-      throw pegtl::parse_error(scalar.fault, in);
+    if (!scalar.error.empty()) {
+      throw pegtl::parse_error(scalar.error, in);
     }
     state.values.push_back(value_of(in, state, scalar.type, in.string()));
     state.values.back().amount = scalar.amount;
@@ -260,7 +260,8 @@
 struct action<constant_name> {
   template <class Input>
   static void apply(const Input& in, State& state) {
-    state.statement = in.string(), state.statement_place = place_of(in, state);
+    state.statement = in.string();
+    state.statement_place = place_of(in, state);
   }
 };
 template <>
@@ -304,14 +305,16 @@
 struct action<block_begin> {
   template <class Input>
   static void apply(const Input& in, State& state) {
-    // Danger: a file of nothing but braces would exhaust the stack.
-    if (state.begun.size() >= static_cast<std::size_t>(kDeepest)) {
-      throw pegtl::parse_error(
-          "blocks stand too deep within each other; expected " + std::to_string(kDeepest) + " at the most",
-          in);
+    // Without a limit, a file of nothing but opening braces would exhaust the stack.
+    if (state.begun.size() >= static_cast<std::size_t>(kMaxBlockDepth)) {
+      throw pegtl::parse_error("blocks stand too deep within each other; expected " +
+                                   std::to_string(kMaxBlockDepth) + " at the most",
+                               in);
     }
     Item made;
-    made.kind = Item::Kind::block, made.place = state.statement_place, made.name = state.statement;
+    made.kind = Item::Kind::block;
+    made.place = state.statement_place;
+    made.name = state.statement;
     made.value = std::exchange(state.label, std::nullopt);
     state.begun.push_back(std::move(made));
     state.open.emplace_back();
@@ -329,135 +332,28 @@
   }
 };
 
-struct Unit {
-  const char* name;
-  Type type;
-  double factor;
-};
-constexpr Unit kUnits[] = {{"ms", Type::duration, 1},      {"s", Type::duration, 1000},
-                           {"min", Type::duration, 60000}, {"h", Type::duration, 3600000},
-                           {"B", Type::size, 1},           {"KiB", Type::size, 1024},
-                           {"MiB", Type::size, 1048576},   {"GiB", Type::size, 1073741824.0},
-                           {"%", Type::share, 0.01},       {"/s", Type::rate, 1},
-                           {"", Type::number, 1}};
-
-bool is_address(std::string_view raw) {
-  const std::size_t colon = raw.find(':');
-  if (colon == std::string_view::npos || colon == 0) {
-    return false;
-  }
-  return raw.substr(0, colon).find_first_not_of("0123456789.") == std::string_view::npos;
-}
-std::string address_fault(std::string_view raw) {
-  const std::size_t colon = raw.find(':');
-  const std::string_view host = raw.substr(0, colon);
-  const std::string_view port = raw.substr(colon + 1);
-  int parts = 0;
-  for (std::size_t at = 0; at <= host.size(); ++parts) {
-    const std::size_t dot = std::min(host.find('.', at), host.size());
-    unsigned part = 256;
-    const auto [end, fault] = std::from_chars(host.data() + at, host.data() + dot, part);
-    if (fault != std::errc() || end != host.data() + dot || part > 255) {
-      return "no address; expected a.b.c.d:port";
-    }
-    at = dot + 1;
-  }
-  unsigned number = 0;
-  const auto [end, fault] = std::from_chars(port.data(), port.data() + port.size(), number);
-  if (parts != 4 || fault != std::errc() || end != port.data() + port.size() || number == 0 ||
-      number > 65535) {
-    return "no address; expected a.b.c.d:port with a port from 1 to 65535";
-  }
-  return "";
-}
+constexpr std::size_t kInvalidLead = 4;
 
-void write(std::string& out, const std::vector<Item>& items, int depth);
-
-std::string value_text(const Value& value, int depth, std::size_t used) {
-  if (value.type == Type::text) {
-    return in_quotes(value.raw);
-  }
-  if (value.type == Type::reference) {
-    return "$" + value.raw;
-  }
-  if (value.type != Type::list) {
-    return value.raw;
-  }
-  std::string line = "[";
-  bool notes = false;
-  for (std::size_t i = 0; i < value.items.size(); ++i) {
-    line += (i ? ", " : "") + value_text(value.items[i], 0, 0);
-  }
-  line += "]";
-  for (const std::string& one : value.notes) {
-    notes = notes || !one.empty();
-  }
-  if (!notes && line.size() + used <= kWidest) {
-    return line;
-  }
-  const std::string indent(static_cast<std::size_t>(2 * depth + 2), ' ');
-  std::string out = "[\n";
-  const auto put_notes = [&](const std::string& text) {
-    for (std::size_t at = 0; at < text.size();) {
-      const std::size_t end = std::min(text.find('\n', at), text.size());
-      out += indent + text.substr(at, end - at) + "\n";
-      at = end + 1;
-    }
-  };
-  for (std::size_t i = 0; i < value.items.size(); ++i) {
-    if (i < value.notes.size()) {
-      put_notes(value.notes[i]);
-    }
-    out += indent + value_text(value.items[i], 0, 0) + ",\n";
+/// How many bytes follow the first byte of a UTF-8 character; kInvalidLead where none can start with it.
+std::size_t continuation_bytes(unsigned char lead) {
+  if (lead < 0x80) {
+    return 0;
   }
-  if (!value.notes.empty() && value.notes.size() > value.items.size()) {
-    put_notes(value.notes.back());
+  if (lead >= 0xC2 && lead < 0xE0) {
+    return 1;
   }
-  return out + std::string(static_cast<std::size_t>(2 * depth), ' ') + "]";
-}
-
-void write(std::string& out, const std::vector<Item>& items, int depth) {
-  const std::string indent(static_cast<std::size_t>(2 * depth), ' ');
-  for (std::size_t i = 0; i < items.size(); ++i) {
-    const Item& item = items[i];
-    const std::string note = item.note.empty() ? "" : "  " + item.note;
-    switch (item.kind) {
-      case Item::Kind::comment:
-        out += indent + item.name + "\n";
-        break;
-      case Item::Kind::gap:
-        if (i + 1 < items.size()) {
-          out += "\n";
-        }
-        break;
-      case Item::Kind::include:
-        out += indent + "include " + value_text(*item.value, depth, 0) + note + "\n";
-        break;
-      case Item::Kind::constant:
-      case Item::Kind::setting: {
-        const std::string head =
-            indent + (item.kind == Item::Kind::constant ? "const " : "") + item.name + " = ";
-        out += head + value_text(*item.value, depth, head.size()) + note + "\n";
-        break;
-      }
-      case Item::Kind::block:
-        out += indent + item.name + (item.value ? " " + in_quotes(item.value->raw) : "") + " {\n";
-        write(out, item.items, depth + 1);
-        out += indent + "}" + note + "\n";
-        break;
-    }
+  if (lead >= 0xE0 && lead < 0xF0) {
+    return 2;
   }
+  return lead >= 0xF0 && lead < 0xF5 ? 3 : kInvalidLead;
 }
 
-bool utf8(std::string_view text, std::size_t& at) {
+/// Whether the text is UTF-8; `at` becomes the offset of the first byte that is not.
+bool is_utf8(std::string_view text, std::size_t& at) {
   for (at = 0; at < text.size();) {
     const auto lead = static_cast<unsigned char>(text[at]);
-    const std::size_t more = lead < 0x80                   ? 0
-                             : lead >= 0xC2 && lead < 0xE0 ? 1
-                             : lead >= 0xE0 && lead < 0xF0 ? 2
-                             : lead >= 0xF0 && lead < 0xF5 ? 3
-                                                           : 4;
-    if (more == 4 || at + more >= text.size() + (more == 0)) {
+    const std::size_t more = continuation_bytes(lead);
+    if (more == kInvalidLead || at + more >= text.size() + (more == 0)) {
       return false;
     }
     for (std::size_t i = 1; i <= more; ++i) {
@@ -473,122 +369,42 @@
 Place place_at(std::string_view text, std::size_t at, int file) {
   Place out{file, 1, 1};
   for (std::size_t i = 0; i < at && i < text.size(); ++i) {
-    text[i] == '\n' ? (++out.line, out.column = 1) : ++out.column;
+    if (text[i] == '\n') {
+      ++out.line;
+      out.column = 1;
+    } else {
+      ++out.column;
+    }
   }
   return out;
 }
 
-}  // namespace
-
-const char* name_of(Type type) {
-  switch (type) {
-    case Type::text:
-      return "a text in quotes";
-    case Type::word:
-      return "a word";
-    case Type::number:
-      return "a number";
-    case Type::duration:
-      return "a duration such as 800ms or 3.2s";
-    case Type::size:
-      return "a size such as 256B or 4KiB";
-    case Type::share:
-      return "a share such as 26%";
-    case Type::rate:
-      return "a rate such as 40/s";
-    case Type::address:
-      return "an address such as 127.0.0.1:8000";
-    case Type::flag:
-      return "on or off";
-    case Type::list:
-      return "a list in [ ]";
-    case Type::reference:
-      return "a constant";
-  }
-  return "";
-}
-
-Scalar scalar_of(std::string_view raw) {
-  if (raw == "on" || raw == "off") {
-    return {Type::flag, raw == "on" ? 1.0 : 0.0, ""};
-  }
-  const bool figure =
-      !raw.empty() && (raw[0] == '-' || raw[0] == '+' || raw[0] == '.' || (raw[0] >= '0' && raw[0] <= '9'));
-  const std::string text(raw);
-  if (!figure) {
-    for (const char letter : raw) {
-      if (!(std::isalnum(static_cast<unsigned char>(letter)) || letter == '_' || letter == '-' ||
-            letter == '.')) {
-        return {Type::word, 0,
-                "'" + text + "' is no word; expected letters, digits, _ and -, or a text in quotes"};
-      }
-    }
-    return {Type::word, 0, ""};
-  }
-  if (is_address(raw)) {
-    const std::string fault = address_fault(raw);
-    return {Type::address, 0, fault.empty() ? "" : "'" + text + "' is " + fault};
-  }
-  double amount = 0;
-  const auto [end, fault] =
-      std::from_chars(raw.data(), raw.data() + raw.size(), amount, std::chars_format::fixed);
-  if (fault == std::errc::result_out_of_range || (fault == std::errc() && !std::isfinite(amount))) {
-    return {Type::number, 0, "'" + text + "' is beyond all numbers; expected a smaller one"};
+/// Why the bytes cannot be a configuration file, whatever they say.
+std::optional<Diagnostic> encoding_error(std::string_view text, int file_number) {
+  if (text.size() > kMaxFileBytes) {
+    return Diagnostic{{file_number, 1, 1},
+                      "the file holds " + std::to_string(text.size()) + " bytes; expected " +
+                          std::to_string(kMaxFileBytes) + " at the most"};
   }
-  if (fault != std::errc()) {
-    return {Type::number, 0, "'" + text + "' is no number; expected digits, and a unit where one is needed"};
+  if (const std::size_t nul = text.find('\0'); nul != std::string_view::npos) {
+    return Diagnostic{place_at(text, nul, file_number), "a NUL byte stands here; expected text"};
   }
-  const std::string_view unit = raw.substr(static_cast<std::size_t>(end - raw.data()));
-  for (const Unit& one : kUnits) {
-    if (unit != one.name) {
-      continue;
-    }
-    const double value = amount * one.factor;
-    if (one.type == Type::duration) {
-      if (std::signbit(amount)) {
-        return {one.type, 0, "'" + text + "' is below nothing; expected a duration from 0ms"};
-      }
-      if (value > kLongestMs) {
-        return {one.type, 0, "'" + text + "' is over a year; expected less"};
-      }
-      const double steps = value / kStepMs;
-      if (std::abs(steps - std::round(steps)) > 1e-6 || (value > 0 && value < kStepMs)) {
-        return {one.type, 0, "'" + text + "' is finer than the clock; expected whole steps of 0.1ms"};
-      }
-    }
-    if (one.type != Type::duration && one.type != Type::number && std::signbit(amount)) {
-      return {one.type, 0, "'" + text + "' is below nothing; expected " + name_of(one.type)};
-    }
-    if (!std::isfinite(value) || std::abs(value) > 1e15) {
-      return {one.type, 0, "'" + text + "' is beyond all bounds; expected a smaller one"};
-    }
-    if (one.type == Type::size && value != std::floor(value)) {
-      return {one.type, 0, "'" + text + "' is no whole number of bytes; expected one"};
-    }
-    return {one.type, value, ""};
+  if (std::size_t at = 0; !is_utf8(text, at)) {
+    return Diagnostic{place_at(text, at, file_number), "this is no UTF-8; expected text"};
   }
-  return {Type::number, 0,
-          "'" + text + "' has an unknown unit '" + std::string(unit) +
-              "'; expected ms, s, min, h, B, KiB, MiB, GiB, % or /s"};
+  return std::nullopt;
 }
 
+}  // namespace
+
 Parsed parse(std::string_view text, int file_number) {
-  Parsed out;
-  if (text.starts_with("\xEF\xBB\xBF")) {
-    text.remove_prefix(3);  // a BOM says nothing here
-  }
-  if (text.size() > kLargestFile) {
-    out.fault = {{file_number, 1, 1},
-                 "the file holds " + std::to_string(text.size()) + " bytes; expected " +
-                     std::to_string(kLargestFile) + " at the most"};
-    return out;
-  }
-  if (const std::size_t nul = text.find('\0'); nul != std::string_view::npos) {
-    out.fault = {place_at(text, nul, file_number), "a NUL byte stands here; expected text"};
-    return out;
+  constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF";
+  if (text.starts_with(kByteOrderMark)) {
+    text.remove_prefix(kByteOrderMark.size());
   }
-  if (std::size_t at = 0; !utf8(text, at)) {
-    out.fault = {place_at(text, at, file_number), "this is no UTF-8; expected text"};
+  Parsed out;
+  out.error = encoding_error(text, file_number);
+  if (out.error) {
     return out;
   }
   State state;
@@ -599,47 +415,10 @@
     out.items = std::move(state.open.front());
   } catch (const pegtl::parse_error& error) {
     const auto& at = error.positions().front();
-    out.fault = {{file_number, static_cast<std::uint32_t>(at.line), static_cast<std::uint32_t>(at.column)},
+    out.error = {{file_number, static_cast<std::uint32_t>(at.line), static_cast<std::uint32_t>(at.column)},
                  std::string(error.message())};
   }
   return out;
 }
 
-std::string format(const std::vector<Item>& items) {
-  std::string out;
-  write(out, items, 0);
-  return out;
-}
-
-std::string number_text(double number) {
-  char text[40];
-  const auto [end, fault] = std::to_chars(text, text + sizeof text, number, std::chars_format::fixed);
-  return fault == std::errc() ? std::string(text, end) : "0";
-}
-
-std::string duration_text(double ms) {
-  if (ms >= 1000 && std::fmod(ms, 100) == 0) {
-    return number_text(std::round(ms / 100) / 10) + "s";
-  }
-  return number_text(std::round(ms * 10) / 10) + "ms";
-}
-
-std::string size_text(double bytes) {
-  for (const auto& [name, factor] :
-       {std::pair("GiB", 1073741824.0), std::pair("MiB", 1048576.0), std::pair("KiB", 1024.0)}) {
-    if (bytes >= factor && std::fmod(bytes, factor) == 0) {
-      return number_text(bytes / factor) + name;
-    }
-  }
-  return number_text(bytes) + "B";
-}
-
-std::string in_quotes(std::string_view text) {
-  std::string out = "\"";
-  for (const char letter : text) {
-    out += (letter == '"' || letter == '\\' ? "\\" : "") + std::string(1, letter);
-  }
-  return out + "\"";
-}
-
 }  // namespace dapplewharf::config
--- a/src/config/render.cpp
+++ b/src/config/render.cpp
@@ -147,7 +147,7 @@
 Imported import(const json& from) {
   Imported out;
   if (!from.is_object() || !from.contains("settings") || !from["settings"].is_object()) {
-    out.fault = "this is no configuration of a node; expected an object with 'settings'";
+    out.error = "this is no configuration of a node; expected an object with 'settings'";
     return out;
   }
   std::set<std::string> read;
@@ -212,16 +212,16 @@
     }
   }
   const Parsed parsed = parse(out.text);
-  if (parsed.fault) {
-    out.fault = "a value cannot be written in the language: " + parsed.fault->what;
+  if (parsed.error) {
+    out.error = "a value cannot be written in the language: " + parsed.error->what;
   } else {
     out.text = format(parsed.items);
   }
   return out;
 }
 
-std::vector<Fault> beyond(const Document& document, const json& platform) {
-  std::vector<Fault> out;
+std::vector<Diagnostic> beyond(const Document& document, const json& platform) {
+  std::vector<Diagnostic> out;
   for (const auto& [block_name, name] :
        {std::pair("rules", "drain_grace"), std::pair("rules", "grace_to_answer"),
         std::pair("rules", "fall_multiple"), std::pair("rules", "further_tries"),
--- a/src/config/render.h
+++ b/src/config/render.h
@@ -12,12 +12,12 @@
 struct Imported {
   std::string text;                   // in the language, formatted
   std::vector<std::string> left_out;  // places in the JSON that the language has no setting for
-  std::string fault;                  // why nothing could be made of it
+  std::string error;                  // why nothing could be made of it
 };
 Imported import(const nlohmann::json& from);
 
 // What a document takes that the platform's own configuration, as JSON, does not grant.
-std::vector<Fault> beyond(const Document& document, const nlohmann::json& platform);
+std::vector<Diagnostic> beyond(const Document& document, const nlohmann::json& platform);
 
 // What two good documents mean differently.
 struct Difference {
--- a/src/config/tool.cpp
+++ b/src/config/tool.cpp
@@ -11,6 +11,7 @@
 #include <set>
 #include <sstream>
 
+#include "config/machine_checks.h"
 #include "config/profiles.h"
 #include "config/render.h"
 
@@ -77,18 +78,18 @@
 // A folder's file without a sidecar is there to be included, or is the operators' own.
 bool is_part(const Document& document) {
   const Parsed parsed = parse(document.texts.empty() ? "" : document.texts.front());
-  return !parsed.fault && std::none_of(parsed.items.begin(), parsed.items.end(), [](const Item& item) {
+  return !parsed.error && std::none_of(parsed.items.begin(), parsed.items.end(), [](const Item& item) {
     return item.kind == Item::Kind::block && item.name == "sidecar";
   });
 }
 
-json fault_json(const Document& document, const Fault& fault) {
-  const auto file = static_cast<std::size_t>(fault.place.file);
+json diagnostic_json(const Document& document, const Diagnostic& diagnostic) {
+  const auto file = static_cast<std::size_t>(diagnostic.place.file);
   return {{"file", file < document.files.size() ? document.files[file] : ""},
-          {"line", fault.place.line},
-          {"column", fault.place.column},
-          {"severity", fault.warning ? "warning" : "error"},
-          {"what", fault.what}};
+          {"line", diagnostic.place.line},
+          {"column", diagnostic.place.column},
+          {"severity", diagnostic.warning ? "warning" : "error"},
+          {"what", diagnostic.what}};
 }
 
 double machine_memory() {
@@ -115,12 +116,12 @@
   json out = json::array();
   bool good = true;
   int count = 0;
-  const auto tell = [&](const Document& document, const Fault& fault) {
-    good = good && fault.warning;
+  const auto tell = [&](const Document& document, const Diagnostic& diagnostic) {
+    good = good && diagnostic.warning;
     if (as_json) {
-      out.push_back(fault_json(document, fault));
+      out.push_back(diagnostic_json(document, diagnostic));
     } else {
-      std::cerr << told(document, fault, true) << "\n";
+      std::cerr << format_diagnostic(document, diagnostic, true) << "\n";
     }
   };
   for (const std::string& path : paths) {
@@ -132,18 +133,18 @@
         continue;
       }
       ++count;
-      for (const Fault& fault : document.faults) {
-        tell(document, fault);
+      for (const Diagnostic& diagnostic : document.diagnostics) {
+        tell(document, diagnostic);
       }
-      for (const Fault& fault : beyond(document, granted)) {
-        tell(document, fault);
+      for (const Diagnostic& diagnostic : beyond(document, granted)) {
+        tell(document, diagnostic);
       }
       documents.push_back(std::move(document));
     }
   }
   if (!operators && documents.size() > 1) {
-    for (const Clash& clash : together(documents, machine_descriptors(), machine_memory())) {
-      tell(documents[clash.document], clash.fault);
+    for (const MachineDiagnostic& found : check_machine(documents, machine_descriptors(), machine_memory())) {
+      tell(documents[found.document], found.diagnostic);
     }
   }
   if (as_json) {
@@ -160,10 +161,10 @@
     for (const std::string& file : files_in(path)) {
       const std::string text = read_file(file);
       const Parsed parsed = parse(text);
-      if (parsed.fault) {
+      if (parsed.error) {
         Document shown;
         shown.files = {file}, shown.texts = {text};
-        std::cerr << told(shown, *parsed.fault, true) << "\n";
+        std::cerr << format_diagnostic(shown, *parsed.error, true) << "\n";
         code = kFaulty;
         continue;
       }
@@ -187,8 +188,8 @@
   if (document.good()) {
     return document;
   }
-  for (const Fault& fault : document.faults) {
-    std::cerr << told(document, fault, true) << "\n";
+  for (const Diagnostic& diagnostic : document.diagnostics) {
+    std::cerr << format_diagnostic(document, diagnostic, true) << "\n";
   }
   throw Unusable("");
 }
@@ -290,8 +291,8 @@
 int import_file(const std::string& path) {
   const json from = json_file(path);
   const Imported made = import(from);
-  if (!made.fault.empty()) {
-    throw Unusable(path + ":0:0: " + made.fault);
+  if (!made.error.empty()) {
+    throw Unusable(path + ":0:0: " + made.error);
   }
   std::cout << made.text;
   for (const std::string& one : made.left_out) {
--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -116,8 +116,8 @@
 config::Document good_one(const std::string& path, config::Use use) {
   config::Document document = config::load(path, use);
   std::size_t errors = 0;
-  const config::Fault* first = nullptr;
-  for (const config::Fault& fault : document.faults) {
+  const config::Diagnostic* first = nullptr;
+  for (const config::Diagnostic& fault : document.diagnostics) {
     if (!fault.warning && errors++ == 0) {
       first = &fault;
     }
@@ -126,7 +126,7 @@
     return document;
   }
   throw std::runtime_error(
-      config::told(document, *first, false) +
+      config::format_diagnostic(document, *first, false) +
       (errors > 1 ? " (and " + std::to_string(errors - 1) + " more; --check tells all)" : ""));
 }
 
@@ -271,8 +271,8 @@
       continue;
     }
     const config::Document document = config::load(path, use);
-    for (const config::Fault& fault : document.faults) {
-      out += config::told(document, fault, true) + "\n";
+    for (const config::Diagnostic& fault : document.diagnostics) {
+      out += config::format_diagnostic(document, fault, true) + "\n";
     }
   }
   return out;
--- a/tests/config/config_benchmark.cpp
+++ b/tests/config/config_benchmark.cpp
@@ -34,7 +34,7 @@
   const auto begun = std::chrono::steady_clock::now();
   std::size_t faults = 0;
   for (int i = 0; i < 1000; ++i) {
-    faults += load((folder / (std::to_string(i) + ".dw")).string()).faults.size();
+    faults += load((folder / (std::to_string(i) + ".dw")).string()).diagnostics.size();
   }
   const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
   rusage used{};
--- a/tests/config/config_fuzzer.cpp
+++ b/tests/config/config_fuzzer.cpp
@@ -9,20 +9,20 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string text(reinterpret_cast<const char*>(data), size);
   const Parsed parsed = parse(text);
-  if (!parsed.fault) {
+  if (!parsed.error) {
     const std::string once = format(parsed.items);
     const Parsed again = parse(once);
-    if (again.fault || format(again.items) != once)
+    if (again.error || format(again.items) != once)
       std::abort();
   }
   const Document document = load_text(text, "x.dw");
-  for (const Fault& fault : document.faults)
-    told(document, fault, true);
+  for (const Diagnostic& diagnostic : document.diagnostics)
+    (void)format_diagnostic(document, diagnostic, true);
   if (!document.good())
     return 0;
   const auto json = render(document);
   const Imported back = import(json);
-  if (!back.fault.empty() || render(load_text(back.text, "x.dw")) != json)
+  if (!back.error.empty() || render(load_text(back.text, "x.dw")) != json)
     std::abort();
   return 0;
 }
