--- a/src/emulator/live/clients.cpp
+++ b/src/emulator/live/clients.cpp
@@ -10,7 +10,7 @@
 #include <deque>
 #include <stdexcept>
 
-#include "emulator/live/parts.h"
+#include "emulator/live/rig_process.h"
 #include "emulator/model/chance.h"
 
 namespace dapplewharf::emulator {
@@ -26,9 +26,9 @@
 constexpr double kResumedMs = 40000;    // protocol page: when it is lost
 constexpr Tenths kNodesReady = 30 * kSecond;
 
-class Clients : public Part {
+class Clients : public RigProcess {
  public:
-  using Part::Part;
+  using RigProcess::RigProcess;
 
  private:
   struct Client {
@@ -71,14 +71,14 @@
 
   void begin() override {
     for (std::size_t i = 0; i < clients_.size(); ++i) {
-      comes_at(i, resumed(i) ? 0 : from_s(plan_.sessions[i].arrive_s));
+      comes_at(i, resumed(i) ? 0 : from_seconds(plan_.sessions[i].arrive_s));
     }
     for (std::size_t i = 0; i < plan_.faults.size(); ++i) {
       const PlannedFault& planned = plan_.faults[i];
-      const Tenths when = from_s(planned.fault.at_s);
+      const Tenths when = from_seconds(planned.fault.at_s);
       if (planned.fault.kind == FaultKind::crowd) {
         once(when, [this, i] { crowd_comes(i); });
-        once(when + from_s(planned.fault.for_s), [this] { crowd_.clear(); });
+        once(when + from_seconds(planned.fault.for_s), [this] { crowd_.clear(); });
       }
       if (planned.fault.kind == FaultKind::drop) {
         once(when, [this, i] { drop(i); });
@@ -103,7 +103,7 @@
       if (!client.begun || client.done) {
         continue;
       }
-      wish_ends(i, std::min(now(), from_s(scenario_.duration_s)));
+      wish_ends(i, std::min(now(), from_seconds(scenario_.duration_s)));
       if (client.standing) {
         credit(i, now());
       }
@@ -154,7 +154,7 @@
     if (std::exchange(nodes_[n].noticed, true)) {
       return;
     }
-    once(now() + from_s(scenario_.notice_s), [this, n] {
+    once(now() + from_seconds(scenario_.notice_s), [this, n] {
       nodes_[n].dealt = false;
       ping(n);
     });
@@ -189,11 +189,11 @@
     }
     if (!client.begun) {
       client.begun = true;
-      client.wish_until = now() + from_s(session(i).life_s);
+      client.wish_until = now() + from_seconds(session(i).life_s);
       once(client.wish_until, [this, i] { wish_over(i); });
       client.begun_at = now();
     }
-    if (now() >= from_s(scenario_.duration_s)) {
+    if (now() >= from_seconds(scenario_.duration_s)) {
       return;
     }
     client.node = dealt_to(session(i).zone);
@@ -206,7 +206,7 @@
     client.sent = now();
     const Dial dialled = dial(*address_of(addresses_.node(client.node)), 1 << 20, 0, client.socket);
     if (dialled == Dial::no_descriptor) {
-      starves();
+      report_descriptors_exhausted();
     }
     if (dialled != Dial::begun) {
       return refused(i);
@@ -287,9 +287,10 @@
       records_.add(asked, Seen::asked, client.id, client.node, session(i).traffic, before);
       const double longest =
           (before ? kResumedMs : type_of(i).expiry_ms) + scenario_.grace_to_answer_ms + scenario_.slack_ms;
-      at(client.expires, now() + from_ms(longest) + kLingers, [this, i] { gives_up(i, false); });
+      at(client.expires, now() + from_milliseconds(longest) + kLingers, [this, i] { gives_up(i, false); });
       if (session(i).patience_ms > 0 && client.attempt == 1 && !before) {
-        at(client.leaves, now() + from_ms(session(i).patience_ms), [this, i] { gives_up(i, true); });
+        at(client.leaves, now() + from_milliseconds(session(i).patience_ms),
+           [this, i] { gives_up(i, true); });
       }
       return loop_.want(client.watched, POLLIN);
     }
@@ -340,7 +341,7 @@
     const Tenths took = now() - sent->second;
     records_.add(stamp(), Seen::line, "", client.node, static_cast<long>(took));
     if (sent->second == client.line_at) {
-      client.line_good = took <= from_ms(type_of(i).message_goal_ms);
+      client.line_good = took <= from_milliseconds(type_of(i).message_goal_ms);
     }
     client.lines.erase(sent);
   }
@@ -380,7 +381,7 @@
       return;
     }
     credit(i, now());
-    const Tenths every = from_s(scenario_.line_every_s);
+    const Tenths every = from_seconds(scenario_.line_every_s);
     at(client.speaks, now() + every, [this, i] { speak(i); });
     client.quiet = hush();
     if (client.quiet) {
@@ -399,8 +400,8 @@
   }
   bool hush() const {
     for (const PlannedFault& one : plan_.faults) {
-      if (one.fault.kind == FaultKind::hush && now() >= from_s(one.fault.at_s) &&
-          now() < from_s(one.fault.at_s + one.fault.for_s)) {
+      if (one.fault.kind == FaultKind::hush && now() >= from_seconds(one.fault.at_s) &&
+          now() < from_seconds(one.fault.at_s + one.fault.for_s)) {
         return true;
       }
     }
@@ -411,7 +412,7 @@
     Client& client = clients_[i];
     const Tenths from = std::exchange(client.credited, until);
     const bool still = !client.lines.empty() && client.lines.back().second == client.line_at &&
-                       until - client.line_at < from_ms(type_of(i).message_goal_ms);
+                       until - client.line_at < from_milliseconds(type_of(i).message_goal_ms);
     const bool good = client.quiet || (client.line_at != 0 && (client.line_good || still));
     if (good && until > from) {
       records_.add(until, Seen::served, "", session(i).traffic, static_cast<long>(from),
@@ -496,7 +497,7 @@
     const double wait = comes_again_ms(scenario_, session(i), got, told_ms, std::max(1, client.failures),
                                        static_cast<std::uint64_t>(client.attempt));
     // Until then it listens whether anything is sent after the final answer.
-    at(client.comes, now() + from_ms(wait), [this, i] {
+    at(client.comes, now() + from_milliseconds(wait), [this, i] {
       hang_up(i);
       comes(i);
     });
@@ -533,7 +534,7 @@
         continue;
       }
       close_by_client(i);
-      comes_at(i, now() + from_s(fault.for_s * fixed_share(session(i).seed, 0xd509 + t)));
+      comes_at(i, now() + from_seconds(fault.for_s * fixed_share(session(i).seed, 0xd509 + t)));
     }
   }
 
--- a/src/emulator/live/live.cpp
+++ b/src/emulator/live/live.cpp
@@ -17,7 +17,7 @@
 
 #include "emulator/env.h"
 #include "emulator/live/gather.h"
-#include "emulator/live/parts.h"
+#include "emulator/live/rig_process.h"
 
 namespace dapplewharf::emulator {
 namespace {
@@ -111,7 +111,7 @@
       longest = std::max(longest, type.expiry_ms);
     }
     const double for_s = scenario_.duration_s + longest / 1000 + kAnswersS;
-    start_part("hosts", run_hosts, for_s);
+    start_part("hosts", run_endpoints, for_s);
     await_part(0);
     nodes_.resize(static_cast<std::size_t>(scenario_.nodes));
     samples_.resize(nodes_.size());
--- a/src/emulator/main.cpp
+++ b/src/emulator/main.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 
 #include "emulator/live/live.h"
-#include "emulator/live/parts.h"
+#include "emulator/live/rig_process.h"
 #include "emulator/report/page.h"
 #include "emulator/sim/policy.h"
 #include "emulator/sim/simulation.h"
@@ -178,7 +178,7 @@
     }
     if (*alone) {
       const Scenario scenario = read_scenario(file);
-      return run_hosts_alone(scenario, plan_of(scenario, options.seed), net, for_s, records);
+      return run_endpoints_alone(scenario, plan_of(scenario, options.seed), net, for_s, records);
     }
     if (*swept) {
       for (const std::string& one : vary) {
--- a/src/emulator/model/host.h
+++ b/src/emulator/model/host.h
@@ -11,6 +11,14 @@
 
 namespace dapplewharf::emulator {
 
+/// What is left of an endpoint's process or machine.
+enum class EndpointCondition {
+  up,
+  silent,    // accepts and reads nothing, and holds its connections
+  vanished,  // its machine is gone; nothing answers
+  down       // its process has ended; connections are reset
+};
+
 class HostModel {
  public:
   HostModel(const Scenario& scenario, const Plan& plan, const PlannedHost& planned);
--- a/src/emulator/sim/fault_injector.cpp
+++ b/src/emulator/sim/fault_injector.cpp
@@ -136,10 +136,10 @@
       begins ? parts_.list_service.begin_outage() : parts_.list_service.end_outage();
       break;
     case FaultKind::zone_cut:
-      state_.network.change_cut(zone_number(fault.zone), zone_number(fault.to), step);
+      state_.network.cuts().change_cut(zone_number(fault.zone), zone_number(fault.to), step);
       break;
     case FaultKind::one_way:
-      state_.network.change_one_way_cut(zone_number(fault.zone), zone_number(fault.to), step);
+      state_.network.cuts().change_one_way_cut(zone_number(fault.zone), zone_number(fault.to), step);
       break;
     case FaultKind::drop:
       if (begins) {
--- a/src/emulator/sim/measurements.cpp
+++ b/src/emulator/sim/measurements.cpp
@@ -80,7 +80,7 @@
         continue;
       }
       service.connected += clients;
-      if (!state_.is_up(index) || state_.network.responses_lost(endpoint_zone, zone)) {
+      if (!state_.is_up(index) || state_.network.cuts().responses_lost(endpoint_zone, zone)) {
         continue;
       }
       const Traffic& traffic = state_.scenario.traffic[type];
--- a/src/emulator/sim/simulation_state.cpp
+++ b/src/emulator/sim/simulation_state.cpp
@@ -80,11 +80,11 @@
 }
 
 bool SimulationState::is_cut(Index node, Index endpoint) const {
-  return network.is_cut(zone_of_endpoint(endpoint), nodes[node].zone);
+  return network.cuts().is_cut(zone_of_endpoint(endpoint), nodes[node].zone);
 }
 
 bool SimulationState::responses_lost(Index node, Index endpoint) const {
-  return network.responses_lost(zone_of_endpoint(endpoint), nodes[node].zone);
+  return network.cuts().responses_lost(zone_of_endpoint(endpoint), nodes[node].zone);
 }
 
 bool SimulationState::defect_shows(NodeDefect kind) {
--- a/src/emulator/sim/simulation_state.h
+++ b/src/emulator/sim/simulation_state.h
@@ -22,13 +22,6 @@
 /// Service is counted in steps of this length.
 constexpr Duration kServiceStep = 100 * kMs;
 
-enum class EndpointCondition {
-  up,
-  silent,    // accepts and reads nothing, and holds its connections
-  vanished,  // its machine is gone; nothing answers
-  down       // its process has ended; connections are reset
-};
-
 struct SimulatedEndpoint {
   SimulatedEndpoint(const Scenario& scenario, const Plan& plan, const PlannedHost& planned)
       : model(scenario, plan, planned) {}
