--- a/tests/emulator/simulation_test.cpp
+++ b/tests/emulator/simulation_test.cpp
@@ -4,10 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include <filesystem>
-
 #include "emulator/sim/policy.h"
-#include "emulator/sweep.h"
 
 namespace dapplewharf::emulator {
 namespace {
@@ -85,36 +82,5 @@
             simulate(example("small"), 1, "random").service());
 }
 
-struct Folder {
-  std::string path = testing::TempDir() + "/dapplewharf-sweep-" + std::to_string(getpid());
-  ~Folder() { std::filesystem::remove_all(path); }
-};
-
-TEST(Sweep, GivesTheSameOnAnyNumberOfThreadsAndGoesOnWhereItStopped) {
-  const Folder one;
-  const Folder many;
-  Sweep sweep;
-  sweep.file = std::string(EXAMPLES) + "/calm.toml";
-  sweep.policies = {"dapplewharf", "fewest"};
-  sweep.vary = {{"clients.standing", {"60", "80"}}};
-  sweep.last = 3;
-  const auto run = [&](const std::string& out, int jobs) {
-    sweep.out = out, sweep.jobs = jobs;
-    testing::internal::CaptureStdout();
-    EXPECT_EQ(run_sweep(sweep), 0);
-    return testing::internal::GetCapturedStdout();
-  };
-  const std::string first = run(one.path + "-1", 1);
-  const std::string second = run(one.path + "-4", 4);
-  EXPECT_EQ(first, second);
-  EXPECT_NE(first.find("12 runs, 0 of them kept"), std::string::npos) << first;
-  std::filesystem::remove(one.path +
-                          "-1/clients.standing=60,fewest/seed-2/mark");  // as after an interruption
-  const std::string again = run(one.path + "-1", 2);
-  EXPECT_NE(again.find("12 runs, 11 of them kept"), std::string::npos) << again;
-  EXPECT_EQ(again.substr(0, again.find("12 runs")), first.substr(0, first.find("12 runs")));
-  std::filesystem::remove_all(one.path + "-1"), std::filesystem::remove_all(one.path + "-4");
-}
-
 }  // namespace
 }  // namespace dapplewharf::emulator
