--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -1099,7 +1099,8 @@
     EXPECT_EQ(time_out, 30000);
     fails(id);
     EXPECT_FALSE(std::any_of(fake.last.begin(), fake.last.end(), [](const Action& action) {
-      return action.kind == ActionKind::log && action.text.find("set-ups bad") != std::string::npos;
+      return action.kind == ActionKind::log &&
+             action.text.find("passive health degraded") != std::string::npos;
     }));
   }
   EXPECT_GT(time_out, 0);
