--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,6 +1,6 @@
 // The message loop of the load-balancing policy (policy/load_balancer.h): EndpointSet, EndpointSelector,
-// RequestTable and one Host for each endpoint read messages from their own mailbox and speak to each other
-// only by posting messages; Parts::settle empties the mailboxes, always in the same order.
+// RequestTable and one Endpoint for each endpoint read messages from their own mailbox and speak to each
+// other only by posting messages; Parts::settle empties the mailboxes, always in the same order.
 #include "policy/load_balancer.h"
 
 #include <algorithm>
@@ -22,8 +22,8 @@
   EndpointSet endpoint_set;
   EndpointSelector selector;
   RequestTable request_table;
-  std::map<std::string, Host> endpoints;
-  std::vector<std::pair<const std::string, Host>*> with_messages;  // endpoints whose inbox is not empty
+  std::map<std::string, Endpoint> endpoints;
+  std::vector<std::pair<const std::string, Endpoint>*> with_messages;  // endpoints whose inbox is not empty
 
   Parts(Settings settings, std::uint64_t seed, TimePoint now)
       : context{std::move(settings), RandomGenerator(seed), now},
