--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -6,6 +6,7 @@
 
 #include "policy/constants.h"
 #include "policy/messages.h"
+#include "policy/notes.h"
 #include "policy/retry_policy.h"
 
 namespace dapplewharf {
