--- a/src/gossip/peer_load_table.cpp
+++ b/src/gossip/peer_load_table.cpp
@@ -1,117 +1,151 @@
+// The peer load table's messages and estimates; see gossip/peer_load_table.h.
 #include "gossip/peer_load_table.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace dapplewharf {
 namespace {
 
-constexpr unsigned char kVersion = 1;
-constexpr Tenths kHolds = 6 * kSecond;       // a word older than this says nothing of now
-constexpr Tenths kAhead = 2 * kSecond;       // clocks differ by less
-constexpr Tenths kAfterChange = 200 * kMs;   // least time between two words after changes
-constexpr Tenths kNowAndThen = 2 * kSecond;  // and without any
-constexpr int kMany = 12, kFew = 3;          // told after a change, and now and then
-constexpr int kHeardLeast = 8;               // with fewer heard an estimate is chance
-constexpr std::size_t kMostHosts = 84;       // that fit into 255 bytes
-constexpr Tenths kStamp = 100 * kMs, kStamps = 65536;
+constexpr int kVersion = 1;
+constexpr Duration kMaxMessageAge = 6 * kSecond;
+constexpr Duration kMaxClockLead = 2 * kSecond;  // of a sender's clock
+constexpr Duration kMinIntervalAfterChange = 200 * kMs;
+constexpr Duration kMeanInterval = 2 * kSecond;
+constexpr int kRecipientsAfterChange = 12;
+constexpr int kRecipients = 3;
+constexpr int kMinHeardNodes = 8;  // with fewer an estimate is chance
+constexpr int kMaxCount = 255;     // one byte
+constexpr std::size_t kMaxMessageBytes = 255;
+constexpr std::size_t kHeaderBytes = 3;
+constexpr std::size_t kEntryBytes = 3;
+constexpr std::size_t kMaxEntries = (kMaxMessageBytes - kHeaderBytes) / kEntryBytes;
+constexpr Duration kStampStep = 100 * kMs;
+constexpr std::int64_t kStamps = 65536;  // then they start again
 
-std::uint16_t tag(const std::string& host) {
-  return static_cast<std::uint16_t>(hash(host) >> 48);
+std::uint16_t endpoint_hash(const std::string& endpoint) {
+  return static_cast<std::uint16_t>(hash(endpoint) >> 48);
+}
+
+void append_byte(std::string& out, int byte) {
+  out += static_cast<char>(byte);
+}
+
+void append_two_bytes(std::string& out, int value) {
+  append_byte(out, value & 255);
+  append_byte(out, value >> 8);
+}
+
+int byte_at(std::string_view bytes, std::size_t offset) {
+  return static_cast<unsigned char>(bytes[offset]);
+}
+
+int two_bytes_at(std::string_view bytes, std::size_t offset) {
+  return byte_at(bytes, offset) + byte_at(bytes, offset + 1) * 256;
 }
 
 }  // namespace
 
-std::vector<int> PeerLoadTable::tell_to(Tenths now, const Counts& counts) {
-  const bool changed = counts != told_;
-  if (nodes_ < 2 || now < (changed ? std::min(changed_next_, next_) : next_)) {
+std::vector<int> PeerLoadTable::choose_recipients(TimePoint now, const Counts& counts) {
+  const bool changed = counts != last_sent_;
+  const TimePoint due = changed ? std::min(next_send_after_change_, next_send_) : next_send_;
+  if (nodes_ < 2 || now < due) {
     return {};
   }
   std::vector<int> others;
   for (int node = 0; node < nodes_; ++node) {
-    if (node != me_) {
+    if (node != node_index_) {
       others.push_back(node);
     }
   }
-  const std::size_t wanted = std::min<std::size_t>(others.size(), changed ? kMany : kFew);
+  const std::size_t wanted =
+      std::min<std::size_t>(others.size(), changed ? kRecipientsAfterChange : kRecipients);
   for (std::size_t i = 0; i < wanted; ++i) {
-    std::swap(others[i], others[i + chance_.next() % (others.size() - i)]);
+    std::swap(others[i], others[i + random_.next() % (others.size() - i)]);
   }
   others.resize(wanted);
-  told_ = counts;
-  changed_next_ = now + kAfterChange;
-  // Danger: nodes that start together would all tell at the same moments.
-  next_ = now + static_cast<Tenths>(kNowAndThen * (0.5 + chance_.share()));
+  last_sent_ = counts;
+  next_send_after_change_ = now + kMinIntervalAfterChange;
+  // Without the random factor, nodes that start together would all send at the same moments.
+  const double interval = static_cast<double>(kMeanInterval) * (0.5 + random_.share());
+  next_send_ = now + static_cast<Duration>(interval);
   return others;
 }
 
-std::string PeerLoadTable::word(const Counts& counts, Tenths unix_now) {
-  std::vector<std::pair<int, std::uint16_t>> most;
-  for (const auto& [host, count] : counts) {
+std::string PeerLoadTable::encode(const Counts& counts, TimePoint unix_now) {
+  std::vector<std::pair<int, std::uint16_t>> entries;
+  for (const auto& [endpoint, count] : counts) {
     if (count > 0) {
-      most.emplace_back(std::min(count, 255), tag(host));
+      entries.emplace_back(std::min(count, kMaxCount), endpoint_hash(endpoint));
     }
   }
-  std::sort(most.rbegin(), most.rend());  // beyond what fits the smallest counts are left out
-  if (most.size() > kMostHosts) {
-    most.resize(kMostHosts);
+  std::sort(entries.rbegin(), entries.rend());
+  if (entries.size() > kMaxEntries) {
+    entries.resize(kMaxEntries);
   }
-  const auto stamp = static_cast<std::uint16_t>(unix_now / kStamp % kStamps);
   std::string out;
-  for (const int byte : {int{kVersion}, stamp & 255, stamp >> 8}) {
-    out += static_cast<char>(byte);
-  }
-  for (const auto& [count, host] : most) {
-    for (const int byte : {host & 255, host >> 8, count}) {
-      out += static_cast<char>(byte);
-    }
+  append_byte(out, kVersion);
+  append_two_bytes(out, static_cast<int>(unix_now / kStampStep % kStamps));
+  for (const auto& [count, endpoint] : entries) {
+    append_two_bytes(out, endpoint);
+    append_byte(out, count);
   }
   return out;
 }
 
-bool PeerLoadTable::hear(int from, std::string_view bytes, Tenths unix_now) {
-  const auto at = [&](std::size_t i) { return static_cast<int>(static_cast<unsigned char>(bytes[i])); };
-  if (from < 0 || from >= nodes_ || from == me_) {
-    return false;
+std::optional<TimePoint> PeerLoadTable::time_of(int stamp, TimePoint unix_now) {
+  const std::int64_t now = unix_now / kStampStep;
+  std::int64_t age = ((now - stamp) % kStamps + kStamps) % kStamps;
+  if (age >= kStamps - kMaxClockLead / kStampStep) {
+    age -= kStamps;  // the sender's clock is ahead of this one's
+  }
+  if (age * kStampStep > kMaxMessageAge) {
+    return std::nullopt;
   }
-  if (bytes.size() < 3 || bytes.size() % 3 != 0 || bytes.size() > 255 || at(0) != kVersion) {
+  return (now - age) * kStampStep;
+}
+
+bool PeerLoadTable::receive(int from, std::string_view bytes, TimePoint unix_now) {
+  if (from < 0 || from >= nodes_ || from == node_index_) {
     return false;
   }
-  const Tenths now = unix_now / kStamp;
-  const Tenths stamp = at(1) + at(2) * 256;
-  Tenths age = ((now - stamp) % kStamps + kStamps) % kStamps;
-  if (age >= kStamps - kAhead / kStamp) {
-    age -= kStamps;  // its clock is a little ahead
+  const bool well_formed =
+      bytes.size() >= kHeaderBytes && bytes.size() <= kMaxMessageBytes && bytes.size() % kEntryBytes == 0;
+  if (!well_formed || byte_at(bytes, 0) != kVersion) {
+    return false;
   }
-  if (age * kStamp > kHolds) {
+  const std::optional<TimePoint> sent_at = time_of(two_bytes_at(bytes, 1), unix_now);
+  if (!sent_at) {
     return false;
   }
-  Word word;
-  word.at = (now - age) * kStamp;
-  const auto known = words_.find(from);
-  if (known != words_.end() && known->second.at > word.at) {
-    return false;  // overtaken by a later one
+  const auto known = latest_.find(from);
+  if (known != latest_.end() && known->second.sent_at > *sent_at) {
+    return false;
   }
-  for (std::size_t i = 3; i < bytes.size(); i += 3) {
-    word.counts[static_cast<std::uint16_t>(at(i) + at(i + 1) * 256)] = at(i + 2);
+  Message message;
+  message.sent_at = *sent_at;
+  for (std::size_t i = kHeaderBytes; i < bytes.size(); i += kEntryBytes) {
+    message.counts[static_cast<std::uint16_t>(two_bytes_at(bytes, i))] = byte_at(bytes, i + 2);
   }
-  words_[from] = std::move(word);
+  latest_[from] = std::move(message);
   return true;
 }
 
-std::optional<double> PeerLoadTable::elsewhere(const std::string& host, Tenths unix_now) const {
+std::optional<double> PeerLoadTable::connections_elsewhere(const std::string& endpoint,
+                                                           TimePoint unix_now) const {
   int heard = 0;
   int sum = 0;
-  for (const auto& [from, word] : words_) {
-    if (unix_now - word.at > kHolds) {
+  for (const auto& [node, message] : latest_) {
+    if (unix_now - message.sent_at > kMaxMessageAge) {
       continue;
     }
     ++heard;
-    const auto found = word.counts.find(tag(host));
-    if (found != word.counts.end()) {
+    const auto found = message.counts.find(endpoint_hash(endpoint));
+    if (found != message.counts.end()) {
       sum += found->second;
     }
   }
-  if (heard < std::min(nodes_ - 1, kHeardLeast) || heard == 0) {
+  if (heard < std::min(nodes_ - 1, kMinHeardNodes) || heard == 0) {
     return std::nullopt;
   }
   return static_cast<double>(sum) * (nodes_ - 1) / heard;
--- a/src/gossip/peer_load_table.h
+++ b/src/gossip/peer_load_table.h
@@ -1,9 +1,10 @@
-// What the other nodes hold: each now and then tells a few others how many connections it has at each host,
-// and from the words of the last seconds this node estimates what all the others hold there. Owns the last
-// word of each node; no sockets, a virtual clock. Danger: words are lost, late, doubled or from a former life
-// of their sender; an estimate is a hint for the balance, never a verdict on a host, and there is none while
-// few are heard.
+// How many connections the other nodes hold at each endpoint. Each node tells its counts to a few others,
+// more of them after a change; from the latest message of each node this table estimates the sum over all
+// others. Owns these messages and their byte format (docs/architecture.md); no sockets, the time is passed
+// in. Messages can be lost, late, duplicated or from an earlier run of their sender, so an estimate may
+// balance load but must never decide whether an endpoint is healthy.
 #pragma once
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
@@ -17,34 +18,45 @@
 
 class PeerLoadTable {
  public:
-  using Counts = std::map<std::string, int>;  // connections of one node at each host
+  /// Connections of one node at each endpoint.
+  using Counts = std::map<std::string, int>;
 
-  // `nodes` in all and this one's number among them; fewer than two: nothing is ever told.
-  PeerLoadTable(int nodes, int me, std::uint64_t seed) : nodes_(nodes), me_(me), chance_(seed) {}
+  /// @param nodes how many there are in all; with fewer than two nothing is ever sent.
+  /// @param node_index this node's place among them, from 0.
+  PeerLoadTable(int nodes, int node_index, std::uint64_t seed)
+      : nodes_(nodes), node_index_(node_index), random_(seed) {}
 
-  // To whom `counts` are to be told now: several at once after a change, a few now and then else.
-  std::vector<int> tell_to(Tenths now, const Counts& counts);
+  /// Chooses the nodes that `counts` is to be sent to now: none until the next message is due, which is
+  /// sooner after a change.
+  std::vector<int> choose_recipients(TimePoint now, const Counts& counts);
 
-  // A word as bytes, at most 255 of them: 1 version, 2 the time in tenths of a second, and 3 for each host.
-  static std::string word(const Counts& counts, Tenths unix_now);
+  /// Encodes a message of at most 255 bytes: the version (1 byte), the time in steps of 100 ms (2 bytes),
+  /// then the hash (2 bytes) and count (1 byte) of each endpoint, largest counts first.
+  [[nodiscard]] static std::string encode(const Counts& counts, TimePoint unix_now);
 
-  // A word has come from node `from`. False: it is unreadable, of another version, stale or older than the
-  // last.
-  bool hear(int from, std::string_view bytes, Tenths unix_now);
+  /// Takes a message from node `from`.
+  /// @return false if it is malformed, of another version, stale, or older than the latest from this node.
+  bool receive(int from, std::string_view bytes, TimePoint unix_now);
 
-  // Connections that all other nodes hold there, as far as is known.
-  std::optional<double> elsewhere(const std::string& host, Tenths unix_now) const;
+  /// Estimates the connections that all other nodes hold at an endpoint; nothing while too few were heard of.
+  [[nodiscard]] std::optional<double> connections_elsewhere(const std::string& endpoint,
+                                                            TimePoint unix_now) const;
 
  private:
-  struct Word {
-    Tenths at = 0;  // when it was written
-    std::map<std::uint16_t, int> counts;
+  struct Message {
+    TimePoint sent_at = 0;                // by the sender's clock, Unix time
+    std::map<std::uint16_t, int> counts;  // by the endpoint's hash
   };
-  int nodes_, me_;
-  RandomGenerator chance_;
-  Counts told_;
-  Tenths next_ = 0, changed_next_ = 0;
-  std::map<int, Word> words_;
+  /// When a message with this time stamp was sent; nothing if that is too long ago.
+  [[nodiscard]] static std::optional<TimePoint> time_of(int stamp, TimePoint unix_now);
+
+  int nodes_;
+  int node_index_;
+  RandomGenerator random_;
+  Counts last_sent_;
+  TimePoint next_send_ = 0;
+  TimePoint next_send_after_change_ = 0;
+  std::map<int, Message> latest_;  // by node
 };
 
 }  // namespace dapplewharf
--- a/src/node/gossip_socket.cpp
+++ b/src/node/gossip_socket.cpp
@@ -53,11 +53,11 @@
   if (!socket_) {
     return;
   }
-  const std::vector<int> others = tally_.tell_to(loop_.now(), counts);
+  const std::vector<int> others = tally_.choose_recipients(loop_.now(), counts);
   if (others.empty()) {
     return;
   }
-  const std::string word = PeerLoadTable::word(counts, EventLoop::unix_now());
+  const std::string word = PeerLoadTable::encode(counts, EventLoop::unix_now());
   for (const int other : others) {
     const sockaddr_in& to = addresses_[static_cast<std::size_t>(other)];
     // A word that the system does not take is lost like one on the way: the next one tells it all anew.
@@ -85,7 +85,7 @@
       }
     }
     const bool whole = got <= static_cast<ssize_t>(sizeof bytes);
-    if (whole && tally_.hear(sender, {bytes, static_cast<std::size_t>(got)}, EventLoop::unix_now())) {
+    if (whole && tally_.receive(sender, {bytes, static_cast<std::size_t>(got)}, EventLoop::unix_now())) {
       ++counters_.gossip_received;
     } else {
       ++counters_.gossip_ignored;
@@ -94,7 +94,7 @@
 }
 
 std::optional<double> GossipSocket::elsewhere(const std::string& host) const {
-  return socket_ ? tally_.elsewhere(host, EventLoop::unix_now()) : std::nullopt;
+  return socket_ ? tally_.connections_elsewhere(host, EventLoop::unix_now()) : std::nullopt;
 }
 
 }  // namespace dapplewharf
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -1,14 +1,23 @@
+// Parses HTTP responses; see wire/http.h.
 #include "wire/http.h"
 
 #include <algorithm>
 #include <cctype>
 #include <charconv>
+#include <optional>
 #include <vector>
 
 namespace dapplewharf {
 namespace {
 
-constexpr std::size_t kLongestHead = 16 * 1024;
+constexpr std::size_t kMaxHeadBytes = 16384;
+constexpr std::size_t kMinStatusLineBytes = 12;  // "HTTP/1.1 200"
+constexpr std::size_t kStatusOffset = 9;
+constexpr std::size_t kStatusDigits = 3;
+constexpr std::size_t kLargestStatus = 999;
+constexpr int kDecimal = 10;
+constexpr int kHexadecimal = 16;
+
 std::string lower(std::string_view text) {
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(),
@@ -27,11 +36,11 @@
 }
 
 bool number_of(std::string_view text, int base, std::size_t most, std::size_t& to) {
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), to, base);
-  return fault == std::errc() && end != text.data() && to <= most;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), to, base);
+  return error == std::errc() && end != text.data() && to <= most;
 }
 
-// One line without its end; false when it has not come whole.
+/// Takes one line without its end off `rest`; false when it is incomplete.
 bool line_of(std::string_view& rest, std::string_view& line) {
   const std::size_t end = rest.find('\n');
   if (end == std::string_view::npos) {
@@ -42,36 +51,56 @@
   return true;
 }
 
-// Danger: a long list in many pieces would be copied anew with each that comes; only a whole one is.
-void pieces_of(const std::string_view all, std::size_t largest, Answer& answer) {
-  std::string_view rest = all;
+/// Takes the empty line after the last chunk, and trailers before it, off `rest`; false when it is
+/// incomplete.
+bool skip_trailers(std::string_view& rest) {
+  std::string_view line;
+  while (line_of(rest, line)) {
+    if (line.empty()) {
+      return true;
+    }
+  }
+  return false;
+}
+
+std::string concatenated(const std::vector<std::string_view>& chunks, std::size_t size) {
+  std::string out;
+  out.reserve(size);
+  for (const std::string_view chunk : chunks) {
+    out += chunk;
+  }
+  return out;
+}
+
+/// Reads a chunked body. The chunks are copied only once all have come; otherwise every piece that arrives
+/// would copy a long body anew.
+void read_chunks(std::string_view rest, std::size_t largest, Answer& answer) {
   std::string_view line;
   std::size_t size = 0;
-  std::size_t whole = 0;
-  std::vector<std::string_view> pieces;
+  std::size_t total = 0;
+  std::vector<std::string_view> chunks;
   while (line_of(rest, line)) {
-    if (!number_of(line.substr(0, line.find(';')), 16, largest, size) || (whole += size) > largest) {
+    if (!number_of(line.substr(0, line.find(';')), kHexadecimal, largest, size)) {
+      answer.state = Answer::State::bad;
+      return;
+    }
+    total += size;
+    if (total > largest) {
       answer.state = Answer::State::bad;
       return;
     }
     if (size == 0) {
-      while (line_of(rest, line) && !line.empty()) {
-      }
-      if (!line.empty()) {
-        return;
-      }
-      answer.state = Answer::State::done;
-      answer.closes = answer.closes || !rest.empty();
-      answer.body.reserve(whole);
-      for (const std::string_view piece : pieces) {
-        answer.body += piece;
+      if (skip_trailers(rest)) {
+        answer.state = Answer::State::done;
+        answer.closes = answer.closes || !rest.empty();
+        answer.body = concatenated(chunks, total);
       }
       return;
     }
     if (rest.size() < size + 1) {
       return;
     }
-    pieces.push_back(rest.substr(0, size));
+    chunks.push_back(rest.substr(0, size));
     rest.remove_prefix(size);
     if (!line_of(rest, line)) {
       return;
@@ -79,6 +108,74 @@
   }
 }
 
+/// What the head of a response says of its body.
+struct Head {
+  bool complete = false;
+  bool malformed = false;
+  bool chunked = false;
+  std::optional<std::size_t> length;  // of the body, in bytes
+};
+
+void read_status_line(std::string_view line, Head& head, Answer& answer) {
+  std::size_t status = 0;
+  if (!line.starts_with("HTTP/1.") || line.size() < kMinStatusLineBytes ||
+      !number_of(line.substr(kStatusOffset, kStatusDigits), kDecimal, kLargestStatus, status)) {
+    head.malformed = true;
+    return;
+  }
+  answer.status = static_cast<int>(status);
+  answer.closes = line.starts_with("HTTP/1.0");
+}
+
+void read_field(std::string_view line, std::size_t largest, Head& head, Answer& answer) {
+  const std::size_t colon = line.find(':');
+  if (colon == std::string_view::npos) {
+    return;
+  }
+  const std::string name = lower(line.substr(0, colon));
+  const std::string value = lower(trimmed(line.substr(colon + 1)));
+  if (name == "content-length") {
+    std::size_t length = 0;
+    head.malformed = !number_of(value, kDecimal, largest, length);
+    head.length = length;
+  }
+  if (name == "transfer-encoding") {
+    head.chunked = value.find("chunked") != std::string::npos;
+  }
+  if (name == "connection") {
+    answer.closes = value.find("close") != std::string::npos;
+  }
+}
+
+/// Takes the head off `rest`, as far as it has come.
+Head read_head(std::string_view& rest, std::size_t largest, Answer& answer) {
+  Head head;
+  std::string_view line;
+  if (!line_of(rest, line)) {
+    return head;
+  }
+  read_status_line(line, head, answer);
+  while (!head.malformed && !head.complete && line_of(rest, line)) {
+    head.complete = line.empty();
+    read_field(line, largest, head, answer);
+  }
+  return head;
+}
+
+/// Reads a body whose length the head states, or that ends with the connection.
+void read_plain_body(std::string_view rest, bool ended, const Head& head, Answer& answer) {
+  const bool complete = head.length ? rest.size() >= *head.length : ended;
+  if (complete) {
+    answer.body = head.length ? rest.substr(0, *head.length) : rest;
+    // Bytes after a response would be read as the response to the next request.
+    answer.closes = answer.closes || rest.size() > answer.body.size();
+    answer.state = Answer::State::done;
+  }
+  if (!head.length) {
+    answer.closes = true;
+  }
+}
+
 }  // namespace
 
 std::string get_request(const std::string& host, const std::string& target) {
@@ -88,60 +185,24 @@
 Answer answer_of(std::string_view in, bool ended, std::size_t largest) {
   Answer answer;
   std::string_view rest = in;
-  std::string_view line;
-  bool chunked = false;
-  bool sized = false;
-  bool head = false;
-  std::size_t size = 0;
-  std::size_t status = 0;
-  const auto bad = [&] {
+  const Head head = read_head(rest, largest, answer);
+  const bool head_missing = !head.complete && (in.size() > kMaxHeadBytes || ended);
+  if (head.malformed || head_missing) {
     answer.state = Answer::State::bad;
     return answer;
-  };
-  if (line_of(rest, line)) {
-    if (!line.starts_with("HTTP/1.") || line.size() < 12 || !number_of(line.substr(9, 3), 10, 999, status)) {
-      return bad();
-    }
-    answer.status = static_cast<int>(status);
-    answer.closes = line.starts_with("HTTP/1.0");
-    while (!head && line_of(rest, line)) {
-      head = line.empty();
-      const std::size_t colon = line.find(':');
-      if (head || colon == std::string_view::npos) {
-        continue;
-      }
-      const std::string name = lower(line.substr(0, colon));
-      const std::string value = lower(trimmed(line.substr(colon + 1)));
-      if (name == "content-length" && !(sized = number_of(value, 10, largest, size))) {
-        return bad();
-      }
-      if (name == "transfer-encoding") {
-        chunked = value.find("chunked") != std::string::npos;
-      }
-      if (name == "connection") {
-        answer.closes = value.find("close") != std::string::npos;
-      }
-    }
   }
-  if (!head) {
-    return in.size() > kLongestHead || ended ? bad() : answer;
-  }
-  if (chunked) {
-    pieces_of(rest, largest, answer);
-  } else if (sized ? rest.size() >= size : ended) {
-    answer.body = sized ? rest.substr(0, size) : rest;
-    // Danger: what stands behind an answer would be read as that to the next call.
-    answer.closes = answer.closes || rest.size() > answer.body.size();
-    answer.state = Answer::State::done;
-  }
-  if (!chunked && !sized) {
-    answer.closes = true;
+  if (!head.complete) {
+    return answer;
   }
-  if (answer.body.size() > largest) {
-    return bad();
+  if (head.chunked) {
+    read_chunks(rest, largest, answer);
+  } else {
+    read_plain_body(rest, ended, head, answer);
   }
-  if (answer.state == Answer::State::more && (ended || rest.size() > (chunked ? 2 : 1) * largest)) {
-    return bad();
+  const std::size_t most = (head.chunked ? 2 : 1) * largest;  // chunks' sizes take room as well
+  const bool unfinished = answer.state == Answer::State::more && (ended || rest.size() > most);
+  if (answer.body.size() > largest || unfinished) {
+    answer.state = Answer::State::bad;
   }
   return answer;
 }
--- a/src/wire/http.h
+++ b/src/wire/http.h
@@ -1,22 +1,32 @@
-// HTTP/1.1 as a caller needs it: writes a request, parses an answer. Owns no sockets; never follows, repeats
-// or judges anything.
+// HTTP/1.1 as a client needs it: writes a GET request and parses its response. Pure; owns no sockets, follows
+// no redirects, repeats nothing.
 #pragma once
+#include <cstddef>
 #include <string>
 #include <string_view>
 
 namespace dapplewharf {
 
+/// A response, as far as it has come.
 struct Answer {
-  enum class State { more, done, bad };
+  enum class State {
+    more,  // incomplete
+    done,
+    bad  // malformed, too large, or the connection ended before it was complete
+  };
   State state = State::more;
   int status = 0;
-  bool closes = false;  // the connection ends with this answer, or is out of step behind it
-  std::string body;
+  bool closes = false;  // the connection must not be used for a further request
+  std::string body;     // complete where the state is done
 };
 
-std::string get_request(const std::string& host, const std::string& target);
-// `in` is all that came since the request; `ended` that nothing more will. A body of over `largest` bytes is
-// bad.
-Answer answer_of(std::string_view in, bool ended, std::size_t largest);
+/// The bytes of a GET request.
+[[nodiscard]] std::string get_request(const std::string& host, const std::string& target);
+
+/// Parses a response.
+/// @param in all bytes that came since the request.
+/// @param ended whether the connection has ended, so that no more will come.
+/// @param largest the size of the largest body that is accepted, in bytes.
+[[nodiscard]] Answer answer_of(std::string_view in, bool ended, std::size_t largest);
 
 }  // namespace dapplewharf
--- a/src/wire/lines.cpp
+++ b/src/wire/lines.cpp
@@ -1,8 +1,10 @@
+// Parses and rewrites the lines of the protocol; see wire/lines.h.
 #include "wire/lines.h"
 
 #include <algorithm>
 #include <charconv>
 #include <set>
+#include <utility>
 
 #include "base/random.h"
 #include "config/platform_settings.h"
@@ -10,8 +12,11 @@
 namespace dapplewharf {
 namespace {
 
-constexpr std::size_t kLongestName = 64;  // ids, keys and names in the list
-constexpr double kLongestWaitMs = 1e8;    // over a day: no client's own figure
+constexpr std::size_t kMaxNameBytes = 64;  // of ids, keys and names of attributes
+constexpr std::size_t kMaxDigits = 16;     // of numbers
+constexpr double kMinWaitMs = 1;
+constexpr double kMaxWaitMs = 1e8;
+constexpr int kHexadecimal = 16;
 
 std::string_view without_end(std::string_view line) {
   if (line.ends_with('\n')) {
@@ -23,11 +28,11 @@
   return line;
 }
 
-// Hexadecimal digits as a number, anything else by its hash.
+/// Hexadecimal digits as a number, anything else as its hash.
 std::int64_t whole_of(std::string_view word) {
   std::uint64_t value = 0;
-  const auto [end, fault] = std::from_chars(word.data(), word.data() + word.size(), value, 16);
-  if (fault != std::errc() || end != word.data() + word.size()) {
+  const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value, kHexadecimal);
+  if (error != std::errc() || end != word.data() + word.size()) {
     value = hash(std::string(word));
   }
   return static_cast<std::int64_t>(value);
@@ -40,135 +45,212 @@
   return word;
 }
 
-// Words of a first line stand one space apart.
+/// Takes a word and the one space behind it off `rest`.
 std::string_view next_word(std::string_view& rest) {
   const std::string_view word = rest.substr(0, rest.find(' '));
   rest.remove_prefix(std::min(word.size() + 1, rest.size()));
   return word;
 }
 
+/// Whether a word is not empty, not too long, and made of the allowed letters.
 bool only(std::string_view word, const char* allowed, std::size_t longest) {
   return !word.empty() && word.size() <= longest && word.find_first_not_of(allowed) == std::string_view::npos;
 }
+
 bool is_hexadecimal(std::string_view word) {
-  return only(word, "0123456789abcdefABCDEF", 16);
+  return only(word, "0123456789abcdefABCDEF", kMaxDigits);
 }
+
 bool is_plain_figure(std::string_view word) {
-  return only(word, "0123456789.", 16);
+  return only(word, "0123456789.", kMaxDigits);
 }
+
 bool is_name(std::string_view word) {
-  return only(word, "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_-", kLongestName);
+  return only(word, "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_-", kMaxNameBytes);
 }
 
 std::optional<double> figure_of(std::string_view text) {
   double value = 0;
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (fault != std::errc() || end != text.data() + text.size()) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size()) {
     return std::nullopt;
   }
   return value;
 }
 
-}  // namespace
-
-Opened opening_of(std::string_view line, const RequestSchema& grammar) {
-  RequestLine to;
-  const auto wrong = [](const char* fault) { return Opened{std::nullopt, fault}; };
-  if (!line.ends_with("\r\n")) {
-    return wrong("no end of line");
-  }
-  std::string_view rest = without_end(line);
-  // Danger: what a host can't read ends whatever else waits on that connection.
-  if (!std::all_of(rest.begin(), rest.end(), [](char byte) { return byte >= ' ' && byte <= '~'; })) {
-    return wrong("bytes that are no text");
-  }
+/// Takes the word OPEN, the id and the key off `rest`.
+/// @return what is wrong, empty if nothing is.
+std::string read_id_and_key(std::string_view& rest, RequestLine& to) {
   if (next_word(rest) != "OPEN") {
-    return wrong("no OPEN line");
+    return "no OPEN line";
   }
   const std::string_view id = next_word(rest);
   const std::string_view key = next_word(rest);
   if (!is_name(id)) {
-    return wrong("no id");
+    return "no id";
   }
   if (!is_name(key)) {
-    return wrong("no key");
+    return "no key";
   }
   to.id = id;
   to.key = whole_of(key);
-  std::set<std::string_view> named;
+  return "";
+}
+
+/// One attribute of a request line, NAME=VALUE.
+struct Attribute {
+  std::string_view name;
+  std::string_view value;
+};
+
+/// Takes one attribute and the comma behind it off `rest`; nothing where there is no "=" or no valid name.
+std::optional<Attribute> next_attribute(std::string_view& rest, bool& more) {
+  const std::size_t comma = rest.find(',');
+  more = comma != std::string_view::npos;
+  const std::string_view entry = rest.substr(0, comma);
+  rest.remove_prefix(more ? comma + 1 : rest.size());
+  const std::size_t equals = entry.find('=');
+  const std::string_view name = entry.substr(0, equals);
+  if (equals == std::string_view::npos || !is_name(name)) {
+    return std::nullopt;
+  }
+  return Attribute{name, entry.substr(equals + 1)};
+}
+
+std::string read_flag(std::string_view value, bool& to) {
+  if (value != "0" && value != "1") {
+    return "neither 0 nor 1";
+  }
+  to = value == "1";
+  return "";
+}
+
+std::string read_group(std::string_view value, RequestLine& to) {
+  if (!is_hexadecimal(value)) {
+    return "no group";
+  }
+  to.group = whole_of(value);
+  return "";
+}
+
+std::string read_wait(std::string_view value, std::string_view line, RequestLine& to) {
+  const std::optional<double> ms = figure_of(value);
+  if (!is_plain_figure(value) || !ms || !(*ms >= kMinWaitMs && *ms <= kMaxWaitMs)) {
+    return "no figure for d";
+  }
+  to.wait = tenths_down(*ms);
+  to.wait_at = static_cast<std::size_t>(value.data() - line.data());
+  to.wait_size = value.size();
+  return "";
+}
+
+/// Takes over one attribute; those that are not known are passed on unread.
+/// @param line the whole line that the attribute is a part of.
+/// @return what is wrong, empty if nothing is.
+std::string read_attribute(const Attribute& attribute, std::string_view line, RequestLine& to) {
+  const auto& [name, value] = attribute;
+  if (value.empty() || value.find_first_of(" =") != std::string_view::npos) {
+    return "no value";
+  }
+  if (name == "c") {
+    to.traffic_type = value;
+  }
+  if (name == "t") {
+    to.tenant = value;
+  }
+  if (name == "at") {
+    to.at = value;
+  }
+  if (name == "g") {
+    return read_group(value, to);
+  }
+  if (name == "r") {
+    return read_flag(value, to.repeated);
+  }
+  if (name == "again") {
+    return read_flag(value, to.returned);
+  }
+  if (name == "d") {
+    return read_wait(value, line, to);
+  }
+  return "";
+}
+
+std::string read_attributes(std::string_view rest, std::string_view line, RequestLine& to) {
+  std::set<std::string_view> names;
   for (bool more = !rest.empty(); more;) {
-    const std::size_t comma = rest.find(',');
-    more = comma != std::string_view::npos;
-    const std::string_view entry = rest.substr(0, comma);
-    rest.remove_prefix(more ? comma + 1 : rest.size());
-    const std::size_t equals = entry.find('=');
-    const std::string_view name = entry.substr(0, equals);
-    if (equals == std::string_view::npos || !is_name(name)) {
-      return wrong("no name and value");
-    }
-    if (!named.insert(name).second) {
-      return wrong("a name twice");
-    }
-    const std::string_view value = entry.substr(equals + 1);
-    if (value.empty() || value.find_first_of(" =") != std::string_view::npos) {
-      return wrong("no value");
-    }
-    if (name == "c") {
-      to.traffic_type = value;
-    }
-    if (name == "t") {
-      to.tenant = value;
+    const std::optional<Attribute> attribute = next_attribute(rest, more);
+    if (!attribute) {
+      return "no name and value";
     }
-    if (name == "at") {
-      to.at = value;
+    if (!names.insert(attribute->name).second) {
+      return "a name twice";
     }
-    if (name == "g" && !is_hexadecimal(value)) {
-      return wrong("no group");
+    if (std::string error = read_attribute(*attribute, line, to); !error.empty()) {
+      return error;
     }
-    if (name == "g") {
-      to.group = whole_of(value);
-    }
-    if ((name == "r" || name == "again") && value != "0" && value != "1") {
-      return wrong("neither 0 nor 1");
-    }
-    if (name == "r") {
-      to.repeated = value == "1";
-    }
-    if (name == "again") {
-      to.returned = value == "1";
-    }
-    if (name != "d") {
-      continue;
-    }
-    const std::optional<double> ms = figure_of(value);
-    if (!is_plain_figure(value) || !ms || !(*ms >= 1 && *ms <= kLongestWaitMs)) {
-      return wrong("no figure for d");
-    }
-    to.wait = tenths_down(*ms);
-    to.wait_at = static_cast<std::size_t>(value.data() - line.data());
-    to.wait_size = value.size();
   }
-  const auto type = grammar.traffic.find(to.traffic_type);
-  if (type == grammar.traffic.end()) {
-    return wrong("no c that the settings know");
+  return "";
+}
+
+/// What the settings do not allow in a request line, empty if nothing.
+std::string schema_error(const RequestLine& request, const RequestSchema& schema) {
+  const auto type = schema.traffic.find(request.traffic_type);
+  if (type == schema.traffic.end()) {
+    return "no c that the settings know";
   }
-  if (!grammar.tenants.empty() && !grammar.tenants.count(to.tenant)) {
-    return wrong("no t that the settings know");
+  if (!schema.tenants.empty() && !schema.tenants.count(request.tenant)) {
+    return "no t that the settings know";
   }
-  if (to.wait == 0) {
-    return wrong("no d");
+  if (request.wait == 0) {
+    return "no d";
   }
-  // One that stands at a host already waits for as long as the node takes to start.
-  if (to.at.empty() && to.wait > type->second) {
-    return wrong("a d beyond the expiry");
+  // A request that stands at an endpoint already also waits for as long as this node takes to start.
+  if (request.at.empty() && request.wait > type->second) {
+    return "a d beyond the expiry";
+  }
+  return "";
+}
+
+bool is_printable(std::string_view text) {
+  return std::all_of(text.begin(), text.end(), [](char byte) { return byte >= ' ' && byte <= '~'; });
+}
+
+/// @return what is wrong, empty if nothing is.
+std::string read_request_line(std::string_view line, const RequestSchema& schema, RequestLine& to) {
+  if (!line.ends_with("\r\n")) {
+    return "no end of line";
+  }
+  std::string_view rest = without_end(line);
+  // An endpoint closes a connection on bytes that it cannot read, with all requests that wait on it.
+  if (!is_printable(rest)) {
+    return "bytes that are no text";
+  }
+  if (std::string error = read_id_and_key(rest, to); !error.empty()) {
+    return error;
+  }
+  if (std::string error = read_attributes(rest, line, to); !error.empty()) {
+    return error;
+  }
+  return schema_error(to, schema);
+}
+
+}  // namespace
+
+Opened opening_of(std::string_view line, const RequestSchema& schema) {
+  RequestLine request;
+  std::string error = read_request_line(line, schema, request);
+  if (!error.empty()) {
+    return {std::nullopt, std::move(error)};
   }
-  to.line = line;
-  return {std::move(to), ""};
+  request.line = line;
+  return {std::move(request), ""};
 }
 
-std::string with_wait(const RequestLine& opening, Tenths wait) {
-  std::string line = opening.line;
-  return line.replace(opening.wait_at, opening.wait_size, std::to_string(std::max<Tenths>(wait / 10, 1)));
+std::string with_wait(const RequestLine& request, Duration wait) {
+  std::string line = request.line;
+  const Duration ms = std::max<Duration>(wait / kMs, 1);
+  return line.replace(request.wait_at, request.wait_size, std::to_string(ms));
 }
 
 Word word_of(std::string_view line) {
--- a/src/wire/lines.h
+++ b/src/wire/lines.h
@@ -1,5 +1,5 @@
-// The protocol's lines: parsing and rewriting only. Owns no bytes and no sockets, and never decides what a
-// line leads to.
+// The lines of the platform's protocol: bytes to values and back. Pure; owns no bytes and no sockets, and
+// never decides what a line leads to. The platform's names for things end here.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,36 +12,47 @@
 
 namespace dapplewharf {
 
-constexpr std::size_t kLongestLine = 4096;
+constexpr std::size_t kLongestLine = 4096;  // bytes
 
-// A client's first line: the bytes that came, and where in them what decisions need is found.
+/// A client's first line, OPEN: the bytes, and what decisions need of them.
 struct RequestLine {
   std::string line;  // with its end
   std::string id;
-  std::string traffic_type, tenant, at;
-  std::optional<std::int64_t> key, group;
-  Tenths wait = 0;  // how long the client waits, from when it sent the line
-  bool repeated = false, returned = false;
-  std::size_t wait_at = 0, wait_size = 0;  // the figure of `d` in the line
+  std::string traffic_type;
+  std::string tenant;
+  std::string at;                     // the endpoint where the connection stands already; empty: none
+  std::optional<std::int64_t> key;    // session affinity key
+  std::optional<std::int64_t> group;  // affinity group
+  Duration wait = 0;                  // how long the client waits, from when it sent the line
+  bool repeated = false;              // the client repeats the request by itself
+  bool returned = false;              // the client comes back after a migration or a break
+  std::size_t wait_at = 0;            // offset of the digits of `d` in the line
+  std::size_t wait_size = 0;          // how many they are
 };
 
-// What a first line may name, as the settings know it.
+/// What a first line may name, according to the settings.
 struct RequestSchema {
-  std::map<std::string, Tenths> traffic;  // types, and the longest that a client of each waits
-  std::set<std::string> tenants;          // empty: none are told
+  std::map<std::string, Duration> traffic;  // by type: the longest that a client waits
+  std::set<std::string> tenants;            // empty: none are told
 };
 
+/// A parsed first line, or why it cannot be used.
 struct Opened {
   std::optional<RequestLine> opening;
   std::string fault;  // what is wrong, where there is none
 };
 
-// Of one whole line, with its end. Nothing is taken from a line of which any part is wrong.
-Opened opening_of(std::string_view line, const RequestSchema& grammar);
-std::string with_wait(const RequestLine& opening, Tenths wait);
+/// Parses a complete first line, with its end.
+[[nodiscard]] Opened opening_of(std::string_view line, const RequestSchema& schema);
 
+/// The line with another time to wait, rounded down to whole ms and at least 1 ms.
+[[nodiscard]] std::string with_wait(const RequestLine& request, Duration wait);
+
+/// The first word of an endpoint's line.
 enum class Word { up, busy, error, bye, move, load, pong, no, other };
-Word word_of(std::string_view line);
-double load_of(std::string_view line);  // of a LOAD line; below 0 where there is no figure
+[[nodiscard]] Word word_of(std::string_view line);
+
+/// The figure of a LOAD line; below 0 if there is none.
+[[nodiscard]] double load_of(std::string_view line);
 
 }  // namespace dapplewharf
