--- a/src/node/gossip_socket.cpp
+++ b/src/node/gossip_socket.cpp
@@ -55,13 +55,13 @@
   if (!socket_) {
     return;
   }
-  if (const std::vector<int> peers = loads_.tell_to(loop_.now(), counts); !peers.empty()) {
+  if (const std::vector<int> peers = loads_.choose_recipients(loop_.now(), counts); !peers.empty()) {
     send(counts, peers);
   }
 }
 
 void GossipSocket::send(const PeerLoadTable::Counts& counts, const std::vector<int>& peers) {
-  const std::string message = PeerLoadTable::word(counts, EventLoop::unix_now());
+  const std::string message = PeerLoadTable::encode(counts, EventLoop::unix_now());
   for (const int peer : peers) {
     const sockaddr_in& to = addresses_[static_cast<std::size_t>(peer)];
     // A message that the system does not take is lost like one on the way: the next one carries it all.
@@ -94,7 +94,7 @@
     }
     const bool complete = size <= static_cast<ssize_t>(sizeof bytes);
     if (complete &&
-        loads_.hear(peer_at(from), {bytes, static_cast<std::size_t>(size)}, EventLoop::unix_now())) {
+        loads_.receive(peer_at(from), {bytes, static_cast<std::size_t>(size)}, EventLoop::unix_now())) {
       ++counters_.gossip_received;
     } else {
       ++counters_.gossip_ignored;
@@ -103,7 +103,7 @@
 }
 
 std::optional<double> GossipSocket::elsewhere(const std::string& host) const {
-  return socket_ ? loads_.elsewhere(host, EventLoop::unix_now()) : std::nullopt;
+  return socket_ ? loads_.connections_elsewhere(host, EventLoop::unix_now()) : std::nullopt;
 }
 
 }  // namespace dapplewharf
