--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -1,7 +1,6 @@
 // Short stories of failures met or feared, each told to one node of the module with a fake fleet.
 #include <gtest/gtest.h>
 
-#include <numeric>
 #include <set>
 
 #include "support/fixtures.h"
@@ -92,48 +91,6 @@
   EXPECT_TRUE(fake.said(ActionKind::scrap, "a"));
 }
 
-TEST(Drains, EveryWayOutOfTheListStopsNewWorkAtOnce) {
-  for (const EndpointState state : {EndpointState::draining, EndpointState::removed}) {
-    Fake fake;
-    fake.start(2);
-    fake.list(Fake::listing("h0"), state);
-    for (int i = 0; i < 40; ++i, fake.now += 10000) {
-      EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h1");
-    }
-  }
-  Fake fake;
-  fake.start(2);
-  Event whole;
-  whole.kind = EventKind::list_whole;
-  whole.listings.push_back(Fake::listing("h1"));
-  fake.tell(whole);
-  for (int i = 0; i < 40; ++i, fake.now += 10000) {
-    EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h1");
-  }
-}
-
-TEST(Drains, AMidFlowArrivalMayReachADrainingHostOnlyWithinTheGrace) {
-  Fake fake;
-  fake.start(1);
-  fake.list(Fake::listing("h0"), EndpointState::draining);
-  EXPECT_EQ(fake.arrive("a", 1, "plain", true), "h0");
-  fake.now += 10000;
-  EXPECT_EQ(fake.arrive("b", 1, "plain", true), "");
-}
-
-TEST(Cold, ACrowdDoesNotPushOverTheOnlyHostLeft) {
-  Fake fake;
-  fake.start(1);
-  fake.list(Fake::listing("h0", "near", fake.now), EndpointState::healthy);
-  int sent = 0;
-  for (int i = 0; i < 50; ++i) {
-    sent += fake.arrive("a" + std::to_string(i), i).empty() ? 0 : 1;
-  }
-  EXPECT_GE(sent, 1);
-  EXPECT_LE(sent, 2);
-  EXPECT_TRUE(fake.said(ActionKind::reject));
-}
-
 TEST(EndpointSelector, ASecondNodeMapsAlikeAndALossMovesOnlyItsOwnKeys) {
   Fake one;
   Fake two;
@@ -185,20 +142,6 @@
   EXPECT_EQ(used.size(), 3u);
 }
 
-TEST(Signals, ASilentHostFallsAndClimbsBackInSteps) {
-  Fake fake;
-  fake.start(5);
-  const std::string home = fake.arrive("a", 3);
-  fake.end("a", Outcome::succeeded, true);
-  fake.silent.insert(home);
-  fake.pass(40000);
-  EXPECT_NE(fake.arrive("b", 3), home);
-  fake.end("b", Outcome::succeeded, true);
-  fake.silent.clear();
-  fake.pass(200000);
-  EXPECT_EQ(fake.arrive("c", 3), home);
-}
-
 TEST(Freeze, WhenMostHostsDegradeAtOnceTheWeightsStay) {
   Fake fake;
   fake.start(5);
@@ -314,21 +257,6 @@
   EXPECT_NE(fake.arrive("later", 1), "");
 }
 
-TEST(Signals, OneBadSetupAtAQuietNodeKeepsAHostAndThreeTakeItOutUntilItsProbesBringItBack) {
-  Fake fake;
-  fake.start(4);
-  const std::string home = fake.arrive("a", 3);
-  for (const char* id : {"b", "c", "d"}) {
-    EXPECT_EQ(fake.arrive(id, 3), home);
-    fake.end(id, Outcome::error);
-    fake.end(id, Outcome::succeeded, true);
-  }
-  EXPECT_NE(fake.arrive("e", 3), home);
-  fake.end("e", Outcome::succeeded, true);
-  fake.pass(300000);
-  EXPECT_EQ(fake.arrive("f", 3), home);
-}
-
 TEST(Fairness, WhatLiesBeyondAShareGivesWayOnlyWhileRoomIsShort) {
   Fake fake;
   fake.settings["tenant.0.name"] = "guests";
@@ -364,22 +292,6 @@
   EXPECT_LT(fake.moved.size(), 12u);
 }
 
-TEST(Cold, AnEntryRepeatedWhileAHostIsColdDoesNotSendItsClimbBack) {
-  Fake fake;
-  fake.start(2);
-  const Tenths started = fake.now;
-  fake.list(Fake::listing("new", "near", started), EndpointState::healthy);
-  for (int i = 0; i < 9; ++i) {
-    fake.pass(10000);
-    fake.list(Fake::listing("new", "near", started), EndpointState::healthy);
-  }
-  bool used = false;
-  for (int i = 0; i < 40; ++i, fake.now += 10000) {
-    used = fake.arrive("a" + std::to_string(i), i) == "new" || used;
-  }
-  EXPECT_TRUE(used);
-}
-
 TEST(Crowds, AHostThatWasLateTakesNoMoreThanItHeldThen) {
   Fake fake;
   fake.start(1);
@@ -406,90 +318,6 @@
   EXPECT_EQ(fake.moved, std::vector<std::string>{"a"});
 }
 
-TEST(Looks, AHostNotProbedOfLateIsProbedFirstAndPassedWhenFull) {
-  Fake fake;
-  fake.settings["nodes"] = 400.0;
-  fake.settings["report.load"] = 0.0;
-  fake.start(4);
-  EXPECT_EQ(fake.arrive("a", 1), "") << "held until the probe has answered";
-  ASSERT_EQ(fake.probes.size(), 1u);
-  const std::string home = fake.probes.begin()->first;
-  Event answer;
-  answer.kind = EventKind::probe_ended;
-  answer.host = home;
-  answer.report = {0.9};
-  fake.tell(answer);
-  ASSERT_EQ(fake.probes.size(), 2u);
-  for (const Action& action : fake.last) {
-    if (action.kind == ActionKind::probe) {
-      answer.host = action.host;
-    }
-  }
-  EXPECT_NE(answer.host, home);
-  answer.report = {0.2};
-  fake.tell(answer);
-  EXPECT_EQ(fake.tries["a"], std::vector<std::string>{answer.host});
-}
-
-TEST(Looks, AnAttachmentWhoseExpiryPassesMeanwhileIsAnsweredWithTheProbe) {
-  Fake fake;
-  fake.settings["nodes"] = 400.0;
-  fake.settings["report.load"] = 0.0;
-  fake.start(1);
-  fake.arrive("a", 1);
-  fake.now += 30000;
-  Event answer;
-  answer.kind = EventKind::probe_ended;
-  answer.host = "h0";
-  fake.tell(answer);
-  EXPECT_TRUE(fake.said(ActionKind::reject, "a"));
-}
-
-// As it was met: 22 ms left, a probe that took 40, the final answer 20 ms after the grace.
-TEST(Looks, AnAttachmentWithLittleTimeLeftIsNotHeldForAProbe) {
-  Fake fake;
-  fake.settings["report.load"] = 0.0;
-  fake.start(2);
-  fake.arrive("a", 1);
-  Event answer;
-  answer.kind = EventKind::probe_ended;
-  answer.host = fake.probes.begin()->first;
-  answer.report = {0.2};
-  fake.tell(answer);
-  ASSERT_EQ(fake.tries["a"].size(), 1u);
-  fake.now += 30000 - 220;
-  fake.end("a", Outcome::error);
-  EXPECT_TRUE(fake.said(ActionKind::setup_try, "a") || fake.said(ActionKind::reject, "a"));
-}
-
-TEST(Lists, WhereOnlyDrainsBindAHostCalledGoneServesOnWhileItsProbesDo) {
-  for (const bool binds_alone : {true, false}) {
-    Fake fake;
-    fake.settings["drain_binds_alone"] = binds_alone ? 1.0 : 0.0;
-    fake.start(1);
-    fake.arrive("stands");
-    fake.stand("stands");
-    fake.list(Fake::listing("h0"), EndpointState::removed);
-    EXPECT_EQ(fake.arrive("a"), binds_alone ? "h0" : "");
-    fake.pass(20000);
-    EXPECT_EQ(fake.arrive("b"), binds_alone ? "h0" : "");
-    EXPECT_TRUE(!binds_alone || fake.moved.empty());
-    fake.silent.insert("h0");
-    fake.pass(20000);
-    EXPECT_EQ(fake.arrive("c"), "") << "the list and its probes agree";
-  }
-}
-
-TEST(Lists, ADrainBindsAlsoWhenTheHostIsCalledGoneAfterwards) {
-  Fake fake;
-  fake.settings["drain_binds_alone"] = 1.0;
-  fake.start(1);
-  fake.list(Fake::listing("h0"), EndpointState::draining);
-  fake.list(Fake::listing("h0"), EndpointState::removed);
-  fake.pass(30000);
-  EXPECT_EQ(fake.arrive("a"), "");
-}
-
 TEST(Crowds, AHostThatTellsOfRoomIsAskedAlsoByAGroupThatIsKeptTogether) {
   Fake fake;
   fake.settings["nodes"] = 400.0;
@@ -644,63 +472,6 @@
   }
 }
 
-TEST(Cold, OneAtOnceFromEachOfManyNodesIsACrowdToo) {
-  int sent = 0;
-  for (std::uint64_t seed = 0; seed < 200; ++seed) {
-    Fake fake;
-    fake.settings["nodes"] = 200.0, fake.settings["me"] = static_cast<double>(seed);
-    fake.start(1, seed);
-    fake.list(Fake::listing("h0", "near", fake.now), EndpointState::healthy);
-    sent += fake.arrive("a", 1).empty() ? 0 : 1;
-  }
-  EXPECT_LT(sent, 20);
-}
-
-TEST(Cold, WhereOthersTellWhatTheyHoldAColdHostIsNotHeldToLessThanItsPart) {
-  int heard = 0;
-  int alone = 0;
-  for (int n = 0; n < 200; ++n) {
-    for (const bool told : {true, false}) {
-      Fake fake;
-      fake.settings["nodes"] = 100.0, fake.settings["me"] = static_cast<double>(n % 100);
-      fake.settings["tenant.0.name"] = std::string("one");
-      fake.settings["tenant.0.open"] = 40.0;
-      fake.start(1, static_cast<std::uint64_t>(n));
-      fake.list(Fake::listing("h0", "near", fake.now), EndpointState::healthy);
-      if (told) {
-        fake.held("h0", 20);
-      }
-      fake.pass(20000);
-      (told ? heard : alone) += fake.arrive("a", 1).empty() ? 0 : 1;
-    }
-  }
-  EXPECT_GT(2 * heard, 3 * alone);  // turns are the same for both
-  EXPECT_LT(heard, 200 * 0.3);
-}
-
-TEST(Cold, ManyNodesThatHoldLittleStillGiveColdHostsTheirPartAndNoMore) {
-  int cold = 0;
-  int all = 0;
-  for (int n = 0; n < 100; ++n) {
-    Fake fake;
-    fake.settings["nodes"] = 100.0, fake.settings["me"] = static_cast<double>(n);
-    fake.settings["tenant.0.name"] = std::string("one");
-    fake.settings["tenant.0.open"] =
-        400.0;  // 100 for each host: 2.5 x 0.3 x 100 / 4 = 19 in a window at first
-    fake.start(2, static_cast<std::uint64_t>(n));
-    fake.list(Fake::listing("c0", "near", fake.now - 10000), EndpointState::healthy);
-    fake.list(Fake::listing("c1", "near", fake.now - 10000), EndpointState::healthy);
-    fake.pass(30000);  // past the first steps of the climb, at half of the warm-up
-    for (int i = 0; i < 2; ++i, ++all) {
-      const std::string at = fake.arrive(std::to_string(i), n * 2 + i);
-      cold += at[0] == 'c' ? 1 : 0;
-      fake.stand(std::to_string(i));
-    }
-  }
-  EXPECT_GT(cold, all / 10);  // with the bound of what little stands at each node it was 6 of 200
-  EXPECT_LT(cold, 2 * 2.5 * 0.65 * 100 / 4);
-}
-
 TEST(Fairness, AShareUnderOneDoesNotShutItsTenantOut) {
   Fake fake;
   fake.settings["nodes"] = 400.0;
@@ -898,55 +669,6 @@
   }
 }
 
-TEST(HealthChecker, WhereLittleComesAndLoadsAreReportedSteadyOnesAreFew) {
-  std::map<double, int> sent;
-  for (const double price : {0.0, 0.004}) {
-    Fake fake;
-    fake.settings["report.load"] = 0.0;
-    fake.settings["price_probe"] = price;
-    fake.start(12);
-    fake.pass(600000);
-    for (const auto& [host, probes] : fake.probes) {
-      sent[price] += probes;
-    }
-  }
-  EXPECT_GT(sent[0.0], 400);
-  EXPECT_LT(sent[0.004] * 5, sent[0.0]);
-  EXPECT_GT(sent[0.004], 0) << "the second signal still speaks";
-}
-
-TEST(Cold, HostsThatReportLittleLoadShowThatANewOneBearsMore) {
-  std::map<double, int> taken;
-  for (const double load : {0.1, 0.9}) {
-    Fake fake;
-    fake.settings["nodes"] = 3.0;
-    fake.settings["report.load"] = 0.0;
-    fake.load = load;
-    fake.start(4);
-    fake.pass(100000);
-    for (int i = 0; i < 40; ++i) {
-      const std::string id = "a" + std::to_string(i);
-      fake.arrive(id, i);
-      fake.answer_probes();
-      if (!fake.tries[id].empty()) {
-        fake.stand(id);
-      }
-    }
-    for (int i = 0; i < 4; ++i) {
-      fake.list(Fake::listing("h" + std::to_string(i)), EndpointState::draining);
-    }
-    fake.list(Fake::listing("new", "near", fake.now), EndpointState::healthy);
-    for (int i = 0; i < 40; ++i) {
-      fake.now += 500;
-      const std::string id = "b" + std::to_string(i);
-      fake.arrive(id, i);
-      fake.answer_probes();
-      taken[load] += !fake.tries[id].empty() && fake.tries[id].back() == "new" ? 1 : 0;
-    }
-  }
-  EXPECT_GT(taken[0.1], taken[0.9]);
-}
-
 }  // namespace
 
 TEST(Crowd, ANewNodeDoesNotHeapAllOnItsOneNearHost) {
@@ -1008,65 +730,6 @@
   EXPECT_EQ(at.at("h1"), 20) << "nobody there is cut off, so no crowd comes";
 }
 
-// hd97ac5: in a burst of one group's attachments the ring led each of 94 nodes to the same cold host.
-TEST(Cold, AGroupThatGathersOverAllNodesIsNoMoreThanAColdHostBears) {
-  std::int64_t group = 0;
-  {
-    Fake fake;
-    fake.start(40);
-    for (; fake.arrive("g" + std::to_string(group), 1, "plain", false, group) != "h0"; ++group) {
-      fake.end("g" + std::to_string(group), Outcome::succeeded, true);
-    }
-  }
-  int sent = 0;
-  for (std::uint64_t seed = 0; seed < 200; ++seed) {
-    Fake fake;
-    fake.settings["nodes"] = 200.0, fake.settings["fall_time"] = 10000.0;
-    fake.settings["me"] = static_cast<double>(seed);
-    fake.start(40, seed);
-    fake.list(Fake::listing("h0", "near", fake.now - 10000), EndpointState::healthy);
-    fake.pass(40000);
-    sent += fake.arrive("a", 1, "plain", false, group) == "h0" ? 1 : 0;
-  }
-  EXPECT_LE(sent, 30);
-}
-
-// After 23 of 72 hosts had fallen together each was sent one try in eight seconds, while 100 nodes rejected.
-TEST(Cold, InACrowdAllNodesTakeTurnsThatAddUpToWhatAColdHostBears) {
-  int sent = 0;
-  int greatest = 0;
-  std::vector<int> when(60);
-  for (int n = 0; n < 100; ++n) {
-    Fake fake;
-    fake.settings["nodes"] = 100.0, fake.settings["me"] = static_cast<double>(n);
-    fake.settings["tenant.0.name"] = std::string("one");
-    fake.settings["tenant.0.open"] = 200.0;  // 100 connections a host over eight seconds, and 2.5 times of it
-    fake.start(2, static_cast<std::uint64_t>(n));
-    fake.arrive("old", n);
-    fake.stand("old");
-    const std::string late = fake.tries["old"].back();
-    const std::string cold = late == "h0" ? "h1" : "h0";
-    const Tenths began = fake.now;
-    fake.list(Fake::listing(cold, "near", began), EndpointState::healthy);
-    for (int i = 0; fake.now < began + 60000; fake.now += 1000, ++i) {
-      fake.delay("old", 900);  // the only warm host is late: a crowd
-      const std::string at = fake.arrive("a" + std::to_string(i), n * 100 + i);
-      if (at == cold) {
-        ++sent, ++when[static_cast<std::size_t>((fake.now - began) / 1000)];
-      }
-      if (!at.empty()) {
-        fake.stand("a" + std::to_string(i));
-      }
-    }
-  }
-  for (std::size_t i = 0; i + 20 <= when.size(); ++i) {
-    greatest = std::max(greatest, std::accumulate(when.begin() + static_cast<long>(i),
-                                                  when.begin() + static_cast<long>(i) + 20, 0));
-  }
-  EXPECT_GT(sent, 40) << "what it bears is made use of";
-  EXPECT_LT(greatest, 2.5 * 0.9 * 100 / 4) << "and no window goes over the multiple";
-}
-
 // A store behind all hosts at a twelfth of its pace: each node's one try was given up early, and blamed its
 // host.
 TEST(Behind, ATryKeepsAllItsTimeAndNoHostIsBlamedUntilOneGoesWell) {
