--- a/src/config/platform_settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -1,141 +1,236 @@
 #include "config/platform_settings.h"
 
+#include <algorithm>
 #include <cmath>
 #include <nlohmann/json.hpp>
-#include <set>
-#include <stdexcept>
 
 using nlohmann::json;
 
 namespace dapplewharf {
 namespace {
 
-constexpr double kEps = 1e-6;  // binary fractions just under a whole tenth
+constexpr double kRoundingSlack = 1e-6;  // ticks: binary fractions just under a whole tick count as that tick
 
-struct Name {
-  const char* wire;
-  const char* ours;
-  bool is_time;
+enum class ValueKind { number, text };  // a flag counts as the number 1 or 0
+
+double number_of(const json& value) {
+  return value.is_boolean() ? static_cast<double>(value.get<bool>()) : value.get<double>();
+}
+
+bool flag_of(const json& value) {
+  return number_of(value) != 0;
+}
+
+Duration duration_of(const json& value) {
+  return value.is_boolean() ? static_cast<Duration>(value.get<bool>()) : ticks_of_ms(value.get<double>());
+}
+
+std::string text_of(const json& value) {
+  return value.get<std::string>();
+}
+
+/// Where a setting stands in the platform's JSON and what it sets.
+template <class Target>
+struct Field {
+  const char* path;
+  ValueKind kind;
+  void (*apply)(Target& target, const json& value);
 };
-const Name kSettingNames[] = {
-    {"/peersTotal", "nodes", false},
-    {"/me", "me", false},
-    {"/zone", "zone", false},
-    {"/discovery", "discovery", false},
-    {"/weights", "weights", false},
-    {"/guarantees/graceToAnswerMs", "grace_to_answer", true},
-    {"/guarantees/askWithinMs", "ask_within", true},
-    {"/guarantees/coldFrom", "cold_from", false},
-    {"/guarantees/coldMs", "cold_time", true},
-    {"/guarantees/fallMs", "fall_time", true},
-    {"/guarantees/fallMultiple", "fall_multiple", false},
-    {"/guarantees/stopSendingWithinMs", "drain_grace", true},
-    {"/guarantees/extraFloor", "further_tries_least", false},
-    {"/guarantees/repeatRatio", "further_tries_share", false},
-    {"/guarantees/countedOverMs", "further_tries_span", true},
-    {"/guarantees/drainBindsAlone", "drain_binds_alone", false},
-    {"/bounds/maxAttempts", "max_tries", false},
-    {"/bounds/maxRetryAfterMs", "max_come_back", true},
-    {"/bounds/retryAfter", "come_back_told", false},
-    {"/bounds/probes", "probes_allowed", false},
-    {"/bounds/secondCopies", "two_tries_allowed", false},
-    {"/bounds/cancel", "cancel_allowed", false},
-    {"/bounds/dialTimeoutMs", "connect_time", true},
-    {"/extra/parkMs", "park_time", true},
-    {"/charges/probe", "price_probe", false},
-    {"/charges/moves", "price_move", false},
-    {"/charges/crossZone", "price_crossing", false},
-    {"/overShareWorth", "over_share_value", false},
+
+template <class Target>
+void ignore(Target& /*target*/, const json& /*value*/) {}
+
+const Field<Settings> kFields[] = {
+    {"/peersTotal", ValueKind::number,
+     [](Settings& to, const json& v) { to.node_count = std::max(1.0, number_of(v)); }},
+    {"/me", ValueKind::number, [](Settings& to, const json& v) { to.node_index = number_of(v); }},
+    {"/zone", ValueKind::text, [](Settings& to, const json& v) { to.zone = text_of(v); }},
+    {"/discovery", ValueKind::text,
+     [](Settings& to, const json& v) { to.polls_endpoints = text_of(v) == "on_request"; }},
+    {"/weights", ValueKind::text,
+     [](Settings& to, const json& v) { to.weights_follow_load = text_of(v) == "live"; }},
+    {"/guarantees/graceToAnswerMs", ValueKind::number, ignore<Settings>},
+    {"/guarantees/askWithinMs", ValueKind::number,
+     [](Settings& to, const json& v) { to.notified_within = duration_of(v); }},
+    {"/guarantees/coldFrom", ValueKind::number,
+     [](Settings& to, const json& v) { to.cold_capacity_share = number_of(v); }},
+    {"/guarantees/coldMs", ValueKind::number,
+     [](Settings& to, const json& v) { to.warm_up_time = duration_of(v); }},
+    {"/guarantees/fallMs", ValueKind::number,
+     [](Settings& to, const json& v) { to.overload_window = duration_of(v); }},
+    {"/guarantees/fallMultiple", ValueKind::number,
+     [](Settings& to, const json& v) { to.overload_multiple = number_of(v); }},
+    {"/guarantees/stopSendingWithinMs", ValueKind::number,
+     [](Settings& to, const json& v) { to.drain_grace = duration_of(v); }},
+    {"/guarantees/drainBindsAlone", ValueKind::number,
+     [](Settings& to, const json& v) { to.only_drains_bind = flag_of(v); }},
+    {"/bounds/maxAttempts", ValueKind::number,
+     [](Settings& to, const json& v) { to.max_attempts = number_of(v); }},
+    {"/bounds/maxRetryAfterMs", ValueKind::number,
+     [](Settings& to, const json& v) { to.max_retry_after = duration_of(v); }},
+    {"/bounds/retryAfter", ValueKind::number,
+     [](Settings& to, const json& v) { to.retry_after_allowed = flag_of(v); }},
+    {"/bounds/probes", ValueKind::number,
+     [](Settings& to, const json& v) { to.health_checks_allowed = flag_of(v); }},
+    {"/bounds/secondCopies", ValueKind::number, ignore<Settings>},
+    {"/bounds/cancel", ValueKind::number, ignore<Settings>},
+    {"/bounds/dialTimeoutMs", ValueKind::number,
+     [](Settings& to, const json& v) { to.connect_timeout = duration_of(v); }},
+    {"/extra/parkMs", ValueKind::number, ignore<Settings>},
+    {"/charges/probe", ValueKind::number,
+     [](Settings& to, const json& v) { to.health_check_price = number_of(v); }},
+    {"/charges/moves", ValueKind::number,
+     [](Settings& to, const json& v) { to.migration_price = number_of(v); }},
+    {"/charges/crossZone", ValueKind::number,
+     [](Settings& to, const json& v) { to.cross_zone_price = number_of(v); }},
+    {"/overShareWorth", ValueKind::number, ignore<Settings>},
 };
-const Name kTrafficNames[] = {
-    {"/name", "name", false},
-    {"/semantics", "effect", false},
-    {"/group", "repeat_group", false},
-    {"/windowMs", "repeat_window", true},
-    {"/objectiveMs", "latency_goal", true},
-    {"/hardLimitMs", "expiry", true},
-    {"/worth", "value", false},
+
+const Field<RetryBudgetSettings> kRetryBudgetFields[] = {
+    {"/guarantees/extraFloor", ValueKind::number,
+     [](RetryBudgetSettings& to, const json& v) { to.min_retries = number_of(v); }},
+    {"/guarantees/repeatRatio", ValueKind::number,
+     [](RetryBudgetSettings& to, const json& v) { to.retry_ratio = number_of(v); }},
+    {"/guarantees/countedOverMs", ValueKind::number,
+     [](RetryBudgetSettings& to, const json& v) { to.window = duration_of(v); }},
 };
-const Name kTenantNames[] = {
-    {"/name", "name", false}, {"/portion", "share", false}, {"/quotaPerS", "quota", false}};
-
-// Danger: a setting of another kind than it has would be passed over, and a rule go by its default.
-void holds(const char* wire, const char* name, const json& value) {
-  static const std::set<std::string> words = {"zone", "discovery", "weights",
-                                              "name", "effect",    "repeat_group"};
-  const bool word = words.count(name) != 0;
-  if (value.is_null() || (word ? value.is_string() : value.is_number() || value.is_boolean())) {
-    return;
+
+Idempotency idempotency_of(const std::string& name) {
+  if (name == "idempotent") {
+    return Idempotency::idempotent;
   }
-  throw std::runtime_error("the setting '" + std::string(wire) + "' is " + value.dump() + "; expected " +
-                           (word ? "a word" : "a number, true or false"));
+  return name == "deduplicated" ? Idempotency::deduplicated : Idempotency::non_idempotent;
 }
 
-void put(SettingsMap& to, const std::string& name, const json& value, bool is_time) {
-  if (value.is_boolean()) {
-    to[name] = value.get<bool>() ? 1.0 : 0.0;
+DeduplicationScope scope_of(const std::string& name) {
+  if (name == "all") {
+    return DeduplicationScope::all;
   }
-  if (value.is_number()) {
-    to[name] = is_time ? static_cast<double>(tenths_down(value.get<double>())) : value.get<double>();
-  }
-  if (value.is_string()) {
-    const std::string text = value.get<std::string>();
-    to[name] = text == "at_most_once" ? "unrepeatable" : text;
+  return name == "zone" ? DeduplicationScope::zone : DeduplicationScope::cell;
+}
+
+const Field<TrafficClass> kTrafficFields[] = {
+    {"/name", ValueKind::text, [](TrafficClass& to, const json& v) { to.name = text_of(v); }},
+    {"/semantics", ValueKind::text,
+     [](TrafficClass& to, const json& v) { to.repeat_rule.idempotency = idempotency_of(text_of(v)); }},
+    {"/group", ValueKind::text,
+     [](TrafficClass& to, const json& v) { to.repeat_rule.scope = scope_of(text_of(v)); }},
+    {"/windowMs", ValueKind::number,
+     [](TrafficClass& to, const json& v) { to.repeat_rule.window = duration_of(v); }},
+    {"/objectiveMs", ValueKind::number,
+     [](TrafficClass& to, const json& v) { to.setup_latency_objective = duration_of(v); }},
+    {"/hardLimitMs", ValueKind::number,
+     [](TrafficClass& to, const json& v) { to.deadline = duration_of(v); }},
+    {"/worth", ValueKind::number, ignore<TrafficClass>},
+};
+
+const Field<Tenant> kTenantFields[] = {
+    {"/name", ValueKind::text, [](Tenant& to, const json& v) { to.name = text_of(v); }},
+    {"/portion", ValueKind::number, ignore<Tenant>},
+    {"/quotaPerS", ValueKind::number, ignore<Tenant>},
+};
+
+// A setting of the wrong kind must not be passed over: its rule would silently go by the default.
+void check_kind(const char* path, ValueKind kind, const json& value) {
+  const bool fits = kind == ValueKind::text ? value.is_string() : value.is_number() || value.is_boolean();
+  if (!fits) {
+    throw SettingsError(path, value.dump(), kind == ValueKind::text ? "a word" : "a number, true or false");
   }
 }
 
-template <std::size_t N>
-void put_all(SettingsMap& to, const std::string& prefix, const json& from, const Name (&names)[N]) {
-  for (const Name& name : names) {
-    const json::json_pointer at(name.wire);
-    if (!from.contains(at)) {
+template <class Target, std::size_t Count>
+void apply_fields(Target& target, const json& source, const Field<Target> (&fields)[Count]) {
+  for (const Field<Target>& field : fields) {
+    const json::json_pointer path(field.path);
+    if (!source.contains(path) || source.at(path).is_null()) {
       continue;
     }
-    holds(name.wire, name.ours, from.at(at));
-    put(to, prefix + name.ours, from.at(at), name.is_time);
+    check_kind(field.path, field.kind, source.at(path));
+    field.apply(target, source.at(path));
   }
 }
 
-void put_list(SettingsMap& to, const std::string& name, const json& list, bool is_time,
-              const std::string& after = "") {
-  for (std::size_t i = 0; i < list.size(); ++i) {
-    put(to, name + std::to_string(i) + after, list[i], is_time);
+void check_required(const json& source) {
+  const std::pair<const char*, const char*> required[] = {{"/guarantees/coldFrom", "cold_from"},
+                                                          {"/guarantees/coldMs", "cold_time"},
+                                                          {"/guarantees/fallMs", "fall_time"},
+                                                          {"/guarantees/fallMultiple", "fall_multiple"},
+                                                          {"/guarantees/stopSendingWithinMs", "drain_grace"}};
+  for (const auto& [path, name] : required) {
+    const json::json_pointer at(path);
+    if (!source.contains(at) || source.at(at).is_null()) {
+      throw SettingsError(name);
+    }
   }
 }
 
-}  // namespace
-
-Tenths tenths_down(double ms) {
-  return static_cast<Tenths>(std::floor(ms * kPerMs + kEps));
+std::vector<TrafficClass> parse_traffic(const json& lanes) {
+  std::vector<TrafficClass> all;
+  for (const json& lane : lanes) {
+    TrafficClass one;
+    one.repeat_rule.scope = DeduplicationScope::cell;  // the narrowest, where the lane names none
+    apply_fields(one, lane, kTrafficFields);
+    all.push_back(std::move(one));
+  }
+  return all;
 }
 
-SettingsMap settings_of(const json& env) {
-  SettingsMap to;
-  put_all(to, "", env, kSettingNames);
-  const json lanes = env.value("lanes", json::array());
-  for (std::size_t i = 0; i < lanes.size(); ++i) {
-    put_all(to, "traffic." + std::to_string(i) + ".", lanes[i], kTrafficNames);
-  }
-  const json realms = env.contains("realms") && env["realms"].is_array() ? env["realms"] : json::array();
+// Names and quotas stand in two lists of the platform's JSON, by place; either may be longer.
+std::vector<Tenant> parse_tenants(const json& realms, const json& quotas) {
+  std::vector<Tenant> all(std::max(realms.size(), quotas.size()));
   for (std::size_t i = 0; i < realms.size(); ++i) {
-    put_all(to, "tenant." + std::to_string(i) + ".", realms[i], kTenantNames);
+    apply_fields(all[i], realms[i], kTenantFields);
   }
-  if (env.contains("extra") && env["extra"].is_object()) {
-    const json& extra = env["extra"];
-    if (extra.contains("messageAimMs")) {
-      put_list(to, "message_goal.", extra["messageAimMs"], true);
+  for (std::size_t i = 0; i < quotas.size(); ++i) {
+    if (quotas[i].is_number() || quotas[i].is_boolean()) {
+      all[i].connections = number_of(quotas[i]);
     }
-    if (extra.contains("tenantQuotaConnections")) {
-      put_list(to, "tenant.", extra["tenantQuotaConnections"], false, ".open");
+  }
+  return all;
+}
+
+json array_at(const json& source, const char* path) {
+  const json::json_pointer at(path);
+  return source.contains(at) && source.at(at).is_array() ? source.at(at) : json::array();
+}
+
+Duration shortest_of(const json& objectives) {
+  Duration shortest = 0;
+  for (const json& objective : objectives) {
+    if (objective.is_number()) {
+      const Duration one = duration_of(objective);
+      shortest = shortest == 0 ? one : std::min(shortest, one);
     }
   }
-  const json reports = env.value("/feedback/fields"_json_pointer, json::array());
+  return shortest;
+}
+
+}  // namespace
+
+Duration ticks_of_ms(double ms) {
+  return static_cast<Duration>(std::floor(ms * kTicksPerMs + kRoundingSlack));
+}
+
+Settings parse_platform_settings(const json& source) {
+  Settings settings;
+  apply_fields(settings, source, kFields);
+  RetryBudgetSettings retry_budget;
+  apply_fields(retry_budget, source, kRetryBudgetFields);
+  if (retry_budget.window > 0) {
+    settings.retry_budget = retry_budget;
+  }
+  settings.traffic = parse_traffic(source.value("lanes", json::array()));
+  settings.tenants =
+      parse_tenants(array_at(source, "/realms"), array_at(source, "/extra/tenantQuotaConnections"));
+  settings.shortest_message_objective = shortest_of(array_at(source, "/extra/messageAimMs"));
+  const json reports = array_at(source, "/feedback/fields");
   for (std::size_t i = 0; i < reports.size(); ++i) {
-    if (reports[i] == "x0") {
-      to["report.load"] = static_cast<double>(i);  // the place of load over capacity
+    if (reports[i] == "x0") {  // load over capacity
+      settings.load_report_index = i;
     }
   }
-  return to;
+  check_required(source);
+  return settings;
 }
 
 }  // namespace dapplewharf
--- a/src/config/platform_settings.h
+++ b/src/config/platform_settings.h
@@ -1,15 +1,22 @@
-// The settings as operators write them (nested JSON, milliseconds) to the module's plain map (our names,
-// whole tenths). Used by the node and by the drill. No decisions, and no reading of files.
+// Reads the platform's JSON settings (nested objects, times in milliseconds) into the typed settings of the
+// load-balancing policy. The one place where the platform's names of settings are mapped to the field's
+// terms. Used by the node, the simulator's adapter and the emulator; reads no files. docs/configuration.md
+// lists the settings.
 #pragma once
 #include <nlohmann/json_fwd.hpp>
 
-#include "policy/words.h"
+#include "base/time.h"
+#include "policy/settings.h"
 
 namespace dapplewharf {
 
-constexpr double kPerMs = 10.0;  // tenths in a millisecond
+inline constexpr double kTicksPerMs = kMs;
 
-Tenths tenths_down(double ms);  // rounded down to a whole tenth, so that no expiry or grace grows
-SettingsMap settings_of(const nlohmann::json& env);
+/// Milliseconds as ticks of 0.1 ms, rounded down, so that no deadline and no grace grows.
+[[nodiscard]] Duration ticks_of_ms(double ms);
+
+/// The policy's settings from the platform's JSON.
+/// @throws SettingsError where a setting is missing or of the wrong kind.
+[[nodiscard]] Settings parse_platform_settings(const nlohmann::json& source);
 
 }  // namespace dapplewharf
--- a/src/emulator/sim/node_simulator.cpp
+++ b/src/emulator/sim/node_simulator.cpp
@@ -34,7 +34,7 @@
   std::fill(node.established.begin(), node.established.end(), 0);
   std::fill(node.slow_endpoints.begin(), node.slow_endpoints.end(), false);
   const nlohmann::json environment = env_of(state_.scenario, state_.plan, static_cast<int>(index));
-  const Settings settings = settings_from_map(settings_of(environment));
+  const Settings settings = parse_platform_settings(environment);
   const std::uint64_t seed =
       XXH64(&index, sizeof index, state_.seed + static_cast<std::uint64_t>(node.incarnation));
   node.policy = make_policy(state_.policy_name, settings, seed, kPolicyClockAtStart + state_.now(),
--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -167,7 +167,7 @@
     throw std::runtime_error(path + ":1:1: there are no 'settings'; expected an object of that name");
   }
   try {
-    LoadBalancer(settings_of(from["settings"]), 0, 0);
+    LoadBalancer(parse_platform_settings(from["settings"]), 0, 0);
   } catch (const std::exception& error) {
     throw std::runtime_error(path + ":1:1: the settings to watch cannot be used: " + error.what());
   }
@@ -177,7 +177,7 @@
 // Throws where the settings lack a rule; it would otherwise be found out by the requests that break it.
 void check_usable(const json& settings) {
   try {
-    LoadBalancer(settings_of(settings), 0, 0);
+    LoadBalancer(parse_platform_settings(settings), 0, 0);
   } catch (const json::exception& error) {
     throw std::runtime_error(std::string("'settings' cannot be used: ") + error.what());
   }
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -53,7 +53,7 @@
   }
   Start& start = known_[host];
   if (start.unix_ms != unix_ms) {
-    start = {unix_ms, std::max<TimePoint>(tenths_down(unix_ms) + now - unix_now, 1)};
+    start = {unix_ms, std::max<TimePoint>(ticks_of_ms(unix_ms) + now - unix_now, 1)};
   }
   return start.at;
 }
--- a/src/node/node_settings.cpp
+++ b/src/node/node_settings.cpp
@@ -14,7 +14,7 @@
 }
 
 Settings policy_settings_of(const nlohmann::json& source) {
-  return settings_from_map(settings_of(source));
+  return parse_platform_settings(source);
 }
 
 NodeSettings node_settings_of(const nlohmann::json& source) {
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -13,6 +13,16 @@
 
 }  // namespace
 
+SettingsError::SettingsError(const std::string& setting)
+    : std::runtime_error("setting missing: " + setting), setting(setting) {}
+
+SettingsError::SettingsError(const std::string& setting, const std::string& found,
+                             const std::string& expected)
+    : std::runtime_error("the setting '" + setting + "' is " + found + "; expected " + expected),
+      setting(setting),
+      found(found),
+      expected(expected) {}
+
 const TrafficClass* Settings::find_traffic(const std::string& name) const {
   return find_by_name(traffic, name);
 }
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -13,10 +13,17 @@
 
 namespace dapplewharf {
 
-/// A setting that is missing or unusable.
+/// A setting that is missing or of the wrong kind.
 class SettingsError : public std::runtime_error {
  public:
-  using std::runtime_error::runtime_error;
+  /// The setting is missing.
+  explicit SettingsError(const std::string& setting);
+  /// The setting has this value, and another kind of value is expected.
+  SettingsError(const std::string& setting, const std::string& found, const std::string& expected);
+
+  std::string setting;
+  std::string found;     // empty: nothing
+  std::string expected;  // empty: any value
 };
 
 /// Requests of one kind: how they may be repeated and how long their clients wait.
--- a/src/sim_adapter/main.cpp
+++ b/src/sim_adapter/main.cpp
@@ -82,7 +82,7 @@
              : state == "cordoned" ? EndpointState::draining
                                    : EndpointState::removed;
   to.size = field(from, "scale", 1.0);
-  to.started = tenths_down(field(from, "cameUpMs", 0.0));
+  to.started = ticks_of_ms(field(from, "cameUpMs", 0.0));
   return to;
 }
 
@@ -92,18 +92,18 @@
   if (verb == "HintUpdate") {
     const bool load = field<std::int64_t>(from, "sort", 0) == 1;
     to.kind = load ? EventKind::load_told : EventKind::delay_told;
-    to.figure = field(from, "value", 0.0) * (load ? 1 : kPerMs);
+    to.figure = field(from, "value", 0.0) * (load ? 1 : kTicksPerMs);
   } else if (verb == "Alarm") {
     to.kind = EventKind::alarm;
     to.number = static_cast<int>(field<std::int64_t>(from, "handle", 0));
     return to;
   } else if (verb == "Established") {
     to.kind = EventKind::established;
-    to.took = tenths_down(field(from, "durationMs", 0.0));
+    to.took = ticks_of_ms(field(from, "durationMs", 0.0));
   } else if (verb == "Result" || verb == "Echo") {
     to.kind = verb == "Result" ? EventKind::try_ended : EventKind::probe_ended;
     to.outcome = outcome_of(needed_text(from, "rc"));
-    to.took = tenths_down(field(from, "durationMs", 0.0));
+    to.took = ticks_of_ms(field(from, "durationMs", 0.0));
     to.final = field(from, "final", false);
     array report;
     if (from["healthInfo"].get(report) == simdjson::SUCCESS) {
@@ -115,7 +115,7 @@
   } else if (verb == "Demand" || verb == "Handover") {
     to.kind = verb == "Demand" ? EventKind::attachment : EventKind::handed_over;
     if (verb == "Demand") {
-      to.expiry = tenths_down(from["clientDeadlineMs"].get_double());
+      to.expiry = ticks_of_ms(from["clientDeadlineMs"].get_double());
     }
     needed_text(from, "req");
     to.traffic_type = needed_text(from, "service");
@@ -156,7 +156,7 @@
   explicit Writer(std::string& out) : out_(out) {}
 
   void command(const Action& action) {
-    const double ms = static_cast<double>(action.time) / kPerMs;
+    const double ms = static_cast<double>(action.time) / kTicksPerMs;
     switch (action.kind) {
       case ActionKind::setup_try:
         return open("host", action.host).next("limitMs", ms).next("req", action.id).verb("Attempt");
@@ -245,7 +245,7 @@
       if (verb == "Boot") {
         const element env = event["env"];
         const auto settings = nlohmann::json::parse(simdjson::minify(env));
-        nodes.try_emplace(node, settings_of(settings), event["prng"].get_uint64(), now);
+        nodes.try_emplace(node, parse_platform_settings(settings), event["prng"].get_uint64(), now);
       }
     } else if (std::optional<Event> known = event_of(event, verb)) {
       events.push_back(std::move(*known));
@@ -256,7 +256,7 @@
 }
 
 void reply_to(Nodes& nodes, const object& batch, std::string& reply) {
-  const Tenths now = tenths_down(batch["simTimeMs"].get_double());
+  const Tenths now = ticks_of_ms(batch["simTimeMs"].get_double());
   Writer writer(reply);
   reply = "{\"parts\":[";
   bool first = true;
--- a/src/wire/lines.cpp
+++ b/src/wire/lines.cpp
@@ -138,7 +138,7 @@
   if (!is_plain_figure(value) || !ms || !(*ms >= kMinWaitMs && *ms <= kMaxWaitMs)) {
     return "no figure for d";
   }
-  to.wait = tenths_down(*ms);
+  to.wait = ticks_of_ms(*ms);
   to.wait_at = static_cast<std::size_t>(value.data() - line.data());
   to.wait_size = value.size();
   return "";
