--- a/src/config/constants.cpp
+++ b/src/config/constants.cpp
@@ -79,10 +79,12 @@
 }
 
 void ConstantTable::report_unused() {
+  const auto message = [](const std::string& name) {
+    return "the constant '" + name + "' is not used; expected $" + name + " somewhere";
+  };
   for (const auto& [name, constant] : constants_) {
     if (!constant.used) {
-      diagnostics_.warning(constant.item->place,
-                           "the constant '" + name + "' is not used; expected $" + name + " somewhere");
+      diagnostics_.warning(constant.item->place, message(name));
     }
   }
 }
--- a/src/config/formatter.cpp
+++ b/src/config/formatter.cpp
@@ -68,35 +68,41 @@
   return list_block(value, depth);
 }
 
-void write(std::string& out, const std::vector<Item>& items, int depth) {
+void write(std::string& out, const std::vector<Item>& items, int depth);
+
+void write_item(std::string& out, const Item& item, int depth) {
   const std::string indent = indent_of(depth);
-  for (std::size_t i = 0; i < items.size(); ++i) {
-    const Item& item = items[i];
-    const std::string note = item.note.empty() ? "" : "  " + item.note;
-    switch (item.kind) {
-      case Item::Kind::comment:
-        out += indent + item.name + "\n";
-        break;
-      case Item::Kind::gap:
-        if (i + 1 < items.size()) {
-          out += "\n";
-        }
-        break;
-      case Item::Kind::include:
-        out += indent + "include " + value_text(*item.value, depth, 0) + note + "\n";
-        break;
-      case Item::Kind::constant:
-      case Item::Kind::setting: {
-        const std::string head =
-            indent + (item.kind == Item::Kind::constant ? "const " : "") + item.name + " = ";
-        out += head + value_text(*item.value, depth, head.size()) + note + "\n";
-        break;
-      }
-      case Item::Kind::block:
-        out += indent + item.name + (item.value ? " " + in_quotes(item.value->raw) : "") + " {\n";
-        write(out, item.items, depth + 1);
-        out += indent + "}" + note + "\n";
-        break;
+  const std::string note = item.note.empty() ? "" : "  " + item.note;
+  switch (item.kind) {
+    case Item::Kind::comment:
+      out += indent + item.name + "\n";
+      break;
+    case Item::Kind::gap:
+      out += "\n";
+      break;
+    case Item::Kind::include:
+      out += indent + "include " + value_text(*item.value, depth, 0) + note + "\n";
+      break;
+    case Item::Kind::constant:
+    case Item::Kind::setting: {
+      const std::string keyword = item.kind == Item::Kind::constant ? "const " : "";
+      const std::string head = indent + keyword + item.name + " = ";
+      out += head + value_text(*item.value, depth, head.size()) + note + "\n";
+      break;
+    }
+    case Item::Kind::block:
+      out += indent + item.name + (item.value ? " " + in_quotes(item.value->raw) : "") + " {\n";
+      write(out, item.items, depth + 1);
+      out += indent + "}" + note + "\n";
+      break;
+  }
+}
+
+/// Writes the items of one block; a gap at its end is left out.
+void write(std::string& out, const std::vector<Item>& items, int depth) {
+  for (const Item& item : items) {
+    if (item.kind != Item::Kind::gap || &item != &items.back()) {
+      write_item(out, item, depth);
     }
   }
 }
