--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -149,7 +149,7 @@
                 if (!found) {
                   return true;
                 }
-                return ledger_.may_send(id_of(at), allowed_by_list(*found), loop_.now()) == Violation::none;
+                return !ledger_.check_send(id_of(at), allowed_by_list(*found), loop_.now());
               },
               [this](Handle at, Tenths delay) {
                 const HeldRequest* found = held(at);
@@ -321,31 +321,31 @@
   return leaves == leaving_.end() || (drain_alone_ && leaves->second == EndpointState::removed);
 }
 
-void Node::violated(const std::string& what, const std::string& id, Violation refusal) {
+void Node::violated(const std::string& what, const std::string& id, std::optional<Violation> refusal) {
   ++counters_.violations;
   const auto found = held_.find(id);
   spdlog::error("refused to {} request {}: {}", what, found == held_.end() ? id : found->second.request,
-                name_of(refusal));
+                refusal ? name_of(*refusal) : "none");
 }
 
 void Node::release(const std::string& id) {
   if (ledger_.close(id)) {
-    violated("close unanswered", id, Violation::none);
+    violated("close unanswered", id, std::nullopt);
   }
   held_.erase(id);
 }
 
 // The one way to an attempt: nothing goes to a host that the ledger refuses.
-Violation Node::start_attempt(HeldRequest& held, const std::string& id, Tenths time_out,
-                              Tenths connect_time) {
+std::optional<Violation> Node::start_attempt(HeldRequest& held, const std::string& id, Tenths time_out,
+                                             Tenths connect_time) {
   const EndpointLocation place = place_of(held.host);
-  const Violation refusal = ledger_.may_begin(id, place, true, loop_.now());  // the list: at the last look
-  if (refusal != Violation::none) {
+  // The list is looked at again before the first byte.
+  if (const auto refusal = ledger_.check_attempt(id, place, true, loop_.now())) {
     return refusal;
   }
   ledger_.begun(id, place, loop_.now());
   relay_.begin_attempt(held.ticket, address_of(address(held.host)), time_out, connect_time);
-  return Violation::none;
+  return std::nullopt;
 }
 
 void Node::reattach(Handle ticket) {
@@ -358,8 +358,7 @@
   if (stopping_) {
     time = std::max<Tenths>(1, std::min(time, ends_by_ - kLookEvery - loop_.now()));
   }
-  const Violation refusal = start_attempt(*found, id_of(ticket), time, time);
-  if (refusal == Violation::none) {
+  if (!start_attempt(*found, id_of(ticket), time, time)) {
     return;
   }
   found->between_attempts = true;
@@ -376,17 +375,17 @@
   const bool listed = !address(held.host).empty();
   const auto leaves = leaving_.find(held.host);
   const bool host_leaves = leaves != leaving_.end() && !drain_alone_;
-  const Violation refusal = ledger_.may_begin(id, place_of(held.host), !host_leaves, loop_.now());
+  const auto refusal = ledger_.check_attempt(id, place_of(held.host), !host_leaves, loop_.now());
   const auto pause = held.reattach->pause(loop_.now(), listed, chance_.share());
-  const bool again = refusal == Violation::none && pause && !stopping_;
+  const bool again = !refusal && pause && !stopping_;
   spdlog::log(again ? spdlog::level::info : spdlog::level::warn,
               "request {} from before: attempt at host {} ended after ms {}, reach {}, cause {}; {}",
               held.request, held.host, (loop_.now() - held.sent) / kMs, static_cast<int>(end.reach),
               static_cast<int>(end.cause),
-              again                        ? "again in ms " + std::to_string(*pause / kMs)
-              : refusal != Violation::none ? std::string("given up: ") + name_of(refusal)
-              : stopping_                  ? std::string("given up: the node ends")
-                                           : std::string("given up: its time is over"));
+              again       ? "again in ms " + std::to_string(*pause / kMs)
+              : refusal   ? std::string("given up: ") + name_of(*refusal)
+              : stopping_ ? std::string("given up: the node ends")
+                          : std::string("given up: its time is over"));
   if (!again) {
     return false;
   }
@@ -418,8 +417,7 @@
   if (!found) {
     return;
   }
-  if (const Violation refusal = ledger_.may_answer(id_of(ticket), FinalAnswer::up);
-      refusal != Violation::none) {
+  if (const auto refusal = ledger_.check_answer(id_of(ticket), FinalAnswer::up)) {
     violated("pass on UP to", id_of(ticket), refusal);
   }
   ledger_.answered(id_of(ticket));
@@ -626,15 +624,15 @@
     return;
   }
   const Handle ticket = found->second.ticket;
-  const Violation refusal = ledger_.may_answer(id, kind);
+  const auto refusal = ledger_.check_answer(id, kind);
   // Danger: a rejection says that a repeat is harmless; where it is not, the client is told of a failure.
-  const bool failed_instead = refusal == Violation::effect_may_repeat;
-  if (refusal != Violation::none) {
+  const bool failed_instead = refusal == Violation::may_have_run;
+  if (refusal) {
     violated("answer", id, refusal);
   }
   ledger_.answered(id);
   release(id);
-  if (refusal == Violation::none || failed_instead) {
+  if (!refusal || failed_instead) {
     relay_.answer(ticket, failed_instead ? "ERR\r\n" : line);
   }
 }
@@ -650,8 +648,7 @@
       found->second.sent = loop_.now();
       ++found->second.tries;
       found->second.out = true;
-      if (const Violation refusal = start_attempt(found->second, action.id, action.time, 0);
-          refusal != Violation::none) {
+      if (const auto refusal = start_attempt(found->second, action.id, action.time, 0)) {
         violated("begin an attempt for", action.id, refusal);
         Event& never = tell(EventKind::try_ended, action.id, action.host);
         never.number = found->second.tries - 1, never.outcome = Outcome::not_sent, never.final = true;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -79,7 +79,8 @@
   void exchange();  // what the nodes hold, among them
   void act(const Action& action);
   void answer(const std::string& id, FinalAnswer kind, const std::string& line);
-  Violation start_attempt(HeldRequest& held, const std::string& id, Tenths time_out, Tenths connect_time);
+  std::optional<Violation> start_attempt(HeldRequest& held, const std::string& id, Tenths time_out,
+                                         Tenths connect_time);
   void reattach(Handle ticket);
   bool reattach_later(Handle ticket, HeldRequest& held,
                       AttemptResult end);               // false: no further attempt may follow
@@ -87,7 +88,7 @@
   EndpointLocation place_of(const std::string& host) const;
   RepeatRule repeat_rule_of(const std::string& traffic_type) const;
   void release(const std::string& id);  // it is no longer held
-  void violated(const std::string& what, const std::string& id, Violation refusal);
+  void violated(const std::string& what, const std::string& id, std::optional<Violation> refusal);
   void subscribe();
   void watch_shadow(const std::vector<Event>& events, const std::vector<Action>& actions);
   void take_settings();                                // what the configuration in force says, for all parts
--- a/src/policy/messages.h
+++ b/src/policy/messages.h
@@ -82,22 +82,6 @@
   bool fresh = false;            // of a listing: new to a list that was known
 };
 
-// What the desk keeps of an attachment, and the ring of its points.
-struct Attempt {
-  std::string host;
-  Tenths sent = 0;
-  bool out = true;  // its result has not come
-  bool may_have_run = true;
-};
-struct Request {
-  Event event;
-  RepeatRule repeat_rule;
-  std::vector<Attempt> tries;
-  bool standing = false;  // the connection is open
-  bool answered = false;  // ended; kept until its last try's result has come
-  bool pending = false;   // handed over, and not up again yet
-};
-
 // Notes in the order they came; whose they are says Post.
 using Inbox = std::vector<const Note*>;
 
--- a/src/policy/request_ledger.cpp
+++ b/src/policy/request_ledger.cpp
@@ -1,13 +1,32 @@
+// The checks of each step of a request; see the header.
 #include "policy/request_ledger.h"
 
 #include <algorithm>
+#include <span>
 
 namespace dapplewharf {
 
-const char* name_of(Violation refusal) {
-  switch (refusal) {
-    case Violation::none:
-      return "none";
+namespace {
+
+std::optional<Violation> check_repeat_of(const RepeatRule& rule, std::span<const Attempt> attempts,
+                                         const EndpointLocation& target, TimePoint now) {
+  const std::optional<RepeatObstacle> obstacle = check_repeat(rule, attempts, target, now);
+  if (!obstacle) {
+    return std::nullopt;
+  }
+  switch (*obstacle) {
+    case RepeatObstacle::attempt_in_flight:
+      return Violation::attempt_in_flight;
+    case RepeatObstacle::may_have_run:
+      return Violation::may_have_run;
+  }
+  return Violation::may_have_run;
+}
+
+}  // namespace
+
+const char* name_of(Violation violation) {
+  switch (violation) {
     case Violation::unknown_request:
       return "unknown request";
     case Violation::already_answered:
@@ -16,17 +35,17 @@
       return "client gone";
     case Violation::past_deadline:
       return "past its deadline";
-    case Violation::attempt_out:
+    case Violation::attempt_in_flight:
       return "another attempt is out";
-    case Violation::effect_may_repeat:
+    case Violation::may_have_run:
       return "an earlier attempt may have run";
-    case Violation::host_is_leaving:
+    case Violation::endpoint_leaving:
       return "its host is leaving";
   }
   return "unknown";
 }
 
-void RequestLedger::open(const std::string& id, const RepeatRule& rule, Tenths deadline) {
+void RequestLedger::open(const std::string& id, const RepeatRule& rule, TimePoint deadline) {
   requests_[id] = {rule, deadline, false, false, {}};
 }
 
@@ -36,41 +55,19 @@
   }
 }
 
-void RequestLedger::expire_by(Tenths deadline) {
+void RequestLedger::expire_by(TimePoint deadline) {
   for (auto& [id, request] : requests_) {
     request.deadline = std::min(request.deadline, deadline);
   }
 }
 
-bool RequestLedger::repeat_is_dropped(const RepeatRule& rule, const Attempt& earlier,
-                                      const EndpointLocation& to, Tenths now) {
-  if (rule.idempotency == Idempotency::idempotent) {
-    return true;
-  }
-  if (rule.idempotency == Idempotency::non_idempotent || now - earlier.since + kRepeatMargin >= rule.window) {
-    return false;
-  }
-  if (earlier.to.host == to.host) {
-    return true;
-  }
-  switch (rule.scope) {
-    case DeduplicationScope::all:
-      return true;
-    case DeduplicationScope::zone:
-      return earlier.to.zone == to.zone;
-    case DeduplicationScope::cell:
-      return earlier.to.cell == to.cell;
-  }
-  return false;
-}
-
-Violation RequestLedger::may_begin(const std::string& id, const EndpointLocation& to, bool allowed_by_list,
-                                   Tenths now) const {
+std::optional<Violation> RequestLedger::check_attempt(const std::string& id, const EndpointLocation& target,
+                                                      bool allowed_by_list, TimePoint now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
     return Violation::unknown_request;
   }
-  const Request& request = found->second;
+  const Record& request = found->second;
   if (request.client_gone) {
     return Violation::client_gone;
   }
@@ -80,34 +77,22 @@
   if (now >= request.deadline) {
     return Violation::past_deadline;
   }
-  if (const Violation refusal = effect_allows(request, request.attempts.size(), to, now);
-      refusal != Violation::none) {
-    return refusal;
+  if (const auto violation = check_repeat_of(request.rule, request.attempts, target, now)) {
+    return violation;
   }
-  return allowed_by_list ? Violation::none : Violation::host_is_leaving;
-}
-
-// Whether the first so many attempts let another one run.
-Violation RequestLedger::effect_allows(const Request& request, std::size_t attempts,
-                                       const EndpointLocation& to, Tenths now) {
-  for (std::size_t i = 0; i < attempts; ++i) {
-    const Attempt& earlier = request.attempts[i];
-    if (earlier.out) {
-      return Violation::attempt_out;
-    }
-    if (earlier.may_have_run && !repeat_is_dropped(request.rule, earlier, to, now)) {
-      return Violation::effect_may_repeat;
-    }
-  }
-  return Violation::none;
+  if (!allowed_by_list) {
+    return Violation::endpoint_leaving;
+  }
+  return std::nullopt;
 }
 
-Violation RequestLedger::may_send(const std::string& id, bool allowed_by_list, Tenths now) const {
+std::optional<Violation> RequestLedger::check_send(const std::string& id, bool allowed_by_list,
+                                                   TimePoint now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.attempts.empty()) {
     return Violation::unknown_request;
   }
-  const Request& request = found->second;
+  const Record& request = found->second;
   if (request.client_gone) {
     return Violation::client_gone;
   }
@@ -115,14 +100,15 @@
     return Violation::already_answered;
   }
   if (!allowed_by_list) {
-    return Violation::host_is_leaving;
+    return Violation::endpoint_leaving;
   }
-  return effect_allows(request, request.attempts.size() - 1, request.attempts.back().to, now);
+  const std::span<const Attempt> attempts(request.attempts);
+  return check_repeat_of(request.rule, attempts.first(attempts.size() - 1), attempts.back().location, now);
 }
 
-void RequestLedger::begun(const std::string& id, const EndpointLocation& to, Tenths now) {
+void RequestLedger::begun(const std::string& id, const EndpointLocation& target, TimePoint now) {
   if (const auto found = requests_.find(id); found != requests_.end()) {
-    found->second.attempts.push_back({to, now, true, true});
+    found->second.attempts.push_back({target, now, true, true});
   }
 }
 
@@ -131,34 +117,28 @@
   if (found == requests_.end() || found->second.attempts.empty()) {
     return;
   }
-  found->second.attempts.back().out = false;
-  found->second.attempts.back().may_have_run = may_have_run;
+  Attempt& latest = found->second.attempts.back();
+  latest.in_flight = false;
+  latest.may_have_run = may_have_run;
 }
 
-Violation RequestLedger::may_answer(const std::string& id, FinalAnswer answer) const {
+std::optional<Violation> RequestLedger::check_answer(const std::string& id, FinalAnswer answer) const {
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
     return Violation::unknown_request;
   }
-  const Request& request = found->second;
+  const Record& request = found->second;
   if (request.client_gone) {
     return Violation::client_gone;
   }
-  // A connection that stands has been answered with UP and may still be told to move.
+  // An established connection has been answered with UP and may still be told to move.
   if (request.answered && answer != FinalAnswer::move) {
     return Violation::already_answered;
   }
-  if (answer != FinalAnswer::busy || request.rule.idempotency == Idempotency::idempotent) {
-    return Violation::none;
-  }
-  const bool dropped_anywhere =
-      request.rule.idempotency == Idempotency::deduplicated && request.rule.scope == DeduplicationScope::all;
-  for (const Attempt& earlier : request.attempts) {
-    if ((earlier.out || earlier.may_have_run) && !dropped_anywhere) {
-      return Violation::effect_may_repeat;
-    }
+  if (answer == FinalAnswer::busy && !may_be_rejected(request.rule, request.attempts)) {
+    return Violation::may_have_run;
   }
-  return Violation::none;
+  return std::nullopt;
 }
 
 void RequestLedger::answered(const std::string& id) {
@@ -172,9 +152,9 @@
   if (found == requests_.end()) {
     return false;
   }
-  const bool owed = !found->second.answered && !found->second.client_gone;
+  const bool is_owed_answer = !found->second.answered && !found->second.client_gone;
   requests_.erase(found);
-  return owed;
+  return is_owed_answer;
 }
 
 }  // namespace dapplewharf
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -10,6 +10,16 @@
 
 namespace dapplewharf {
 
+// What is kept of a request in flight or a connection.
+struct Request {
+  Event event;
+  RepeatRule repeat_rule;
+  std::vector<Attempt> tries;
+  bool standing = false;  // the connection is open
+  bool answered = false;  // ended; kept until its last try's result has come
+  bool pending = false;   // handed over, and not up again yet
+};
+
 // Holds the attachments: their tries, their expiry and their one final answer.
 class RequestTable {
  public:
@@ -44,7 +54,7 @@
       return;
     }
     for (const Attempt& made : found->second.tries) {
-      if (made.out) {
+      if (made.in_flight) {
         return;
       }
     }
@@ -109,7 +119,7 @@
     if (event.kind == EventKind::handed_over) {
       held.standing = true;
       held.pending = event.pending;
-      held.tries.push_back({event.host, context_.now, true, true});
+      held.tries.push_back({{event.host, {}, {}}, context_.now, true, true});
       tell_host(event, event.host);
     }
     held_[event.id] = held;
@@ -169,15 +179,14 @@
       return;
     }
     Attempt& last = held.tries[static_cast<std::size_t>(event.number)];
-    if (!std::exchange(last.out, false)) {
+    if (!std::exchange(last.in_flight, false)) {
       return;
     }
-    last.may_have_run = event.outcome != Outcome::rejected && event.outcome != Outcome::connect_failed &&
-                        event.outcome != Outcome::not_sent;
+    last.may_have_run = may_have_run(event.outcome);
     Event told = event;
     // Danger: a host that leaves while its connection comes up would cost the attachment one of its tries.
     if (event.outcome == Outcome::withdrawn) {
-      --out_, tell_host(event, last.host);
+      --out_, tell_host(event, last.location.host);
       if (held.tries.size() > 1 && !further_.empty()) {
         further_.pop_back();
       }
@@ -189,13 +198,13 @@
       // Danger: a host that takes no connection is down by itself, whatever stands behind the others.
       if (event.outcome != Outcome::cancelled && event.outcome != Outcome::not_sent &&
           event.outcome != Outcome::connect_failed) {
-        learn(last.host, false);
+        learn(last.location.host, false);
         if (behind_all()) {
           told.outcome = Outcome::cancelled;
         }
       }
     }
-    tell_host(told, last.host, held.standing);
+    tell_host(told, last.location.host, held.standing);
     if (event.final || held.standing) {
       held.answered = true;
     }
@@ -212,7 +221,7 @@
       if (!held.standing || held.answered) {
         continue;
       }
-      if (!host.empty() && held.tries.back().host != host) {
+      if (!host.empty() && held.tries.back().location.host != host) {
         continue;
       }
       // Danger: one that is still to come up again would be ended by a trouble that may pass.
@@ -233,7 +242,7 @@
 
   void move(Request& held) {
     held.answered = true;  // the client comes again as a new attachment
-    context_.act(ActionKind::move, held.event.id, held.tries.back().host);
+    context_.act(ActionKind::move, held.event.id, held.tries.back().location.host);
     moved_.push_back(context_.now);
   }
 
@@ -245,21 +254,7 @@
     if (static_cast<double>(held.tries.size()) >= context_.settings.max_attempts) {
       return false;
     }
-    for (const Attempt& earlier : held.tries) {
-      if (earlier.out) {
-        return false;  // danger: two out; a cancelled one is out until its result has come
-      }
-      if (!earlier.may_have_run || held.repeat_rule.idempotency == Idempotency::idempotent) {
-        continue;
-      }
-      if (held.repeat_rule.idempotency != Idempotency::deduplicated) {
-        return false;  // danger: an unrepeatable effect happens twice
-      }
-      if (context_.now - earlier.sent + kRepeatMargin >= held.repeat_rule.window) {
-        return false;
-      }
-    }
-    return true;
+    return !check_repeat(held.repeat_rule, held.tries, std::nullopt, context_.now);
   }
 
   // Danger: each failure answered by another try makes one host's trouble everybody's work. Where tries
@@ -280,21 +275,6 @@
            budget->min_retries + budget->retry_ratio * static_cast<double>(taken_.size());
   }
 
-  // The one place that decides whether an attachment may be rejected: that says that a repeat is harmless.
-  bool may_be_rejected(const Request& held) const {
-    if (held.repeat_rule.idempotency == Idempotency::idempotent) {
-      return true;
-    }
-    for (const Attempt& earlier : held.tries) {
-      if ((earlier.out || earlier.may_have_run) &&
-          !(held.repeat_rule.idempotency == Idempotency::deduplicated &&
-            held.repeat_rule.scope == DeduplicationScope::all)) {
-        return false;
-      }
-    }
-    return true;
-  }
-
   // Fairness: what lies beyond a tenant's share gives way first, and only while room is short.
   bool beyond_share(const Request& held) const {
     const Tenant* tenant = context_.settings.find_tenant(held.event.tenant);
@@ -320,14 +300,14 @@
     if (held.event.group) {
       for (const auto& [id, other] : held_) {
         if (other.standing && !other.answered && other.event.group == held.event.group) {
-          note.homes.insert(other.tries.back().host), ++note.members;
+          note.homes.insert(other.tries.back().location.host), ++note.members;
         }
       }
     }
     for (const Attempt& earlier : held.tries) {
-      note.hosts.push_back(earlier.host);
+      note.hosts.push_back(earlier.location.host);
       if (held.repeat_rule.idempotency == Idempotency::deduplicated && earlier.may_have_run) {
-        note.host = earlier.host;
+        note.host = earlier.location.host;
       }
     }
     note.within = held.repeat_rule.scope;
@@ -365,7 +345,7 @@
       }
       further_.push_back(context_.now);
     }
-    held.tries.push_back({host, context_.now, true, true});
+    held.tries.push_back({{host, {}, {}}, context_.now, true, true});
     ++out_;
     context_.act(ActionKind::setup_try, id, host, 0, time_out(held));
   }
@@ -393,7 +373,7 @@
       return;
     }
     const std::string& id = held.event.id;
-    if (!may_be_rejected(held)) {
+    if (!may_be_rejected(held.repeat_rule, held.tries)) {
       return context_.act(ActionKind::scrap, id, "");
     }
     const Settings& settings = context_.settings;
--- /dev/null
+++ b/src/policy/retry_policy.cpp
@@ -0,0 +1,81 @@
+// The rules on repeats; see the header.
+#include "policy/retry_policy.h"
+
+#include <algorithm>
+
+namespace dapplewharf {
+
+namespace {
+
+bool is_in_scope(DeduplicationScope scope, const EndpointLocation& earlier, const EndpointLocation& target) {
+  if (earlier.host == target.host) {
+    return true;
+  }
+  switch (scope) {
+    case DeduplicationScope::all:
+      return true;
+    case DeduplicationScope::zone:
+      return earlier.zone == target.zone;
+    case DeduplicationScope::cell:
+      return earlier.cell == target.cell;
+  }
+  return false;
+}
+
+bool is_repeat_harmless(const RepeatRule& rule, const Attempt& earlier,
+                        const std::optional<EndpointLocation>& target, TimePoint now) {
+  if (!earlier.may_have_run || rule.idempotency == Idempotency::idempotent) {
+    return true;
+  }
+  if (rule.idempotency == Idempotency::non_idempotent) {
+    return false;
+  }
+  if (now - earlier.sent + kRepeatMargin >= rule.window) {
+    return false;
+  }
+  return !target || is_in_scope(rule.scope, earlier.location, *target);
+}
+
+}  // namespace
+
+bool may_have_run(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::rejected:
+    case Outcome::connect_failed:
+    case Outcome::not_sent:
+    case Outcome::withdrawn:
+      return false;
+    case Outcome::succeeded:
+    case Outcome::error:
+    case Outcome::timed_out:
+    case Outcome::connection_lost:
+    case Outcome::cancelled:
+      return true;
+  }
+  return true;
+}
+
+std::optional<RepeatObstacle> check_repeat(const RepeatRule& rule, std::span<const Attempt> attempts,
+                                           const std::optional<EndpointLocation>& target, TimePoint now) {
+  for (const Attempt& earlier : attempts) {
+    if (earlier.in_flight) {
+      return RepeatObstacle::attempt_in_flight;
+    }
+    if (!is_repeat_harmless(rule, earlier, target, now)) {
+      return RepeatObstacle::may_have_run;
+    }
+  }
+  return std::nullopt;
+}
+
+bool may_be_rejected(const RepeatRule& rule, std::span<const Attempt> attempts) {
+  const bool is_dropped_anywhere =
+      rule.idempotency == Idempotency::deduplicated && rule.scope == DeduplicationScope::all;
+  if (rule.idempotency == Idempotency::idempotent || is_dropped_anywhere) {
+    return true;
+  }
+  return std::none_of(attempts.begin(), attempts.end(),
+                      [](const Attempt& earlier) { return earlier.in_flight || earlier.may_have_run; });
+}
+
+}  // namespace dapplewharf
--- a/tests/policy/request_ledger_test.cpp
+++ b/tests/policy/request_ledger_test.cpp
@@ -22,21 +22,21 @@
 
 TEST(RequestLedger, OneAttemptAtATimeUntilItsDeadlineItsAnswerOrItsClientsEnd) {
   RequestLedger ledger = opened(Idempotency::idempotent);
-  EXPECT_EQ(ledger.may_begin("r", kHere, true, 0), Violation::none);
-  EXPECT_EQ(ledger.may_begin("r", kHere, false, 0), Violation::host_is_leaving);
-  EXPECT_EQ(ledger.may_begin("other", kHere, true, 0), Violation::unknown_request);
+  EXPECT_EQ(ledger.check_attempt("r", kHere, true, 0), std::nullopt);
+  EXPECT_EQ(ledger.check_attempt("r", kHere, false, 0), Violation::endpoint_leaving);
+  EXPECT_EQ(ledger.check_attempt("other", kHere, true, 0), Violation::unknown_request);
   ledger.begun("r", kHere, 0);
-  EXPECT_EQ(ledger.may_begin("r", kBeside, true, 1), Violation::attempt_out);
+  EXPECT_EQ(ledger.check_attempt("r", kBeside, true, 1), Violation::attempt_in_flight);
   ledger.ended("r", true);
-  EXPECT_EQ(ledger.may_begin("r", kBeside, true, kDeadline - 1), Violation::none);
-  EXPECT_EQ(ledger.may_begin("r", kBeside, true, kDeadline), Violation::past_deadline);
+  EXPECT_EQ(ledger.check_attempt("r", kBeside, true, kDeadline - 1), std::nullopt);
+  EXPECT_EQ(ledger.check_attempt("r", kBeside, true, kDeadline), Violation::past_deadline);
   ledger.answered("r");
-  EXPECT_EQ(ledger.may_begin("r", kBeside, true, 2), Violation::already_answered);
-  EXPECT_EQ(ledger.may_answer("r", FinalAnswer::error), Violation::already_answered);
-  EXPECT_EQ(ledger.may_answer("r", FinalAnswer::move), Violation::none);
+  EXPECT_EQ(ledger.check_attempt("r", kBeside, true, 2), Violation::already_answered);
+  EXPECT_EQ(ledger.check_answer("r", FinalAnswer::error), Violation::already_answered);
+  EXPECT_EQ(ledger.check_answer("r", FinalAnswer::move), std::nullopt);
   RequestLedger left = opened(Idempotency::idempotent);
   left.client_left("r");
-  EXPECT_EQ(left.may_begin("r", kHere, true, 0), Violation::client_gone);
+  EXPECT_EQ(left.check_attempt("r", kHere, true, 0), Violation::client_gone);
   EXPECT_FALSE(left.close("r"));
   RequestLedger owed = opened(Idempotency::idempotent);
   EXPECT_TRUE(owed.close("r")) << "closed with no answer";
@@ -46,26 +46,27 @@
 TEST(RequestLedger, WhatMayHaveRunIsRepeatedOnlyWhereARepeatIsDropped) {
   for (const bool ran : {false, true}) {
     RequestLedger once = opened(Idempotency::non_idempotent);
+    const auto refusal = ran ? std::optional(Violation::may_have_run) : std::nullopt;
     once.begun("r", kHere, 0), once.ended("r", ran);
-    EXPECT_EQ(once.may_begin("r", kBeside, true, 1), ran ? Violation::effect_may_repeat : Violation::none);
-    EXPECT_EQ(once.may_answer("r", FinalAnswer::busy), ran ? Violation::effect_may_repeat : Violation::none);
-    EXPECT_EQ(once.may_answer("r", FinalAnswer::error), Violation::none);
+    EXPECT_EQ(once.check_attempt("r", kBeside, true, 1), refusal);
+    EXPECT_EQ(once.check_answer("r", FinalAnswer::busy), refusal);
+    EXPECT_EQ(once.check_answer("r", FinalAnswer::error), std::nullopt);
   }
   RequestLedger zone = opened(Idempotency::deduplicated, DeduplicationScope::zone);
   zone.begun("r", kHere, 0), zone.ended("r", true);
-  EXPECT_EQ(zone.may_begin("r", kBeside, true, kWindow - kRepeatMargin - 1), Violation::none);
-  EXPECT_EQ(zone.may_begin("r", kBeside, true, kWindow - kRepeatMargin), Violation::effect_may_repeat);
-  EXPECT_EQ(zone.may_begin("r", kFar, true, 1), Violation::effect_may_repeat);
-  EXPECT_EQ(zone.may_answer("r", FinalAnswer::busy), Violation::effect_may_repeat);
+  EXPECT_EQ(zone.check_attempt("r", kBeside, true, kWindow - kRepeatMargin - 1), std::nullopt);
+  EXPECT_EQ(zone.check_attempt("r", kBeside, true, kWindow - kRepeatMargin), Violation::may_have_run);
+  EXPECT_EQ(zone.check_attempt("r", kFar, true, 1), Violation::may_have_run);
+  EXPECT_EQ(zone.check_answer("r", FinalAnswer::busy), Violation::may_have_run);
   // Connecting took until the window was over: the first byte is refused, though the attempt was allowed.
   zone.begun("r", kBeside, kWindow - kRepeatMargin - 1);
-  EXPECT_EQ(zone.may_send("r", true, kWindow - kRepeatMargin - 1), Violation::none);
-  EXPECT_EQ(zone.may_send("r", true, kWindow - kRepeatMargin), Violation::effect_may_repeat);
-  EXPECT_EQ(zone.may_send("r", false, 1), Violation::host_is_leaving);
+  EXPECT_EQ(zone.check_send("r", true, kWindow - kRepeatMargin - 1), std::nullopt);
+  EXPECT_EQ(zone.check_send("r", true, kWindow - kRepeatMargin), Violation::may_have_run);
+  EXPECT_EQ(zone.check_send("r", false, 1), Violation::endpoint_leaving);
   RequestLedger cell = opened(Idempotency::deduplicated, DeduplicationScope::cell);
   cell.begun("r", kHere, 0), cell.ended("r", true);
-  EXPECT_EQ(cell.may_begin("r", kBeside, true, 1), Violation::effect_may_repeat);
-  EXPECT_EQ(cell.may_begin("r", kHere, true, 1), Violation::none);
+  EXPECT_EQ(cell.check_attempt("r", kBeside, true, 1), Violation::may_have_run);
+  EXPECT_EQ(cell.check_attempt("r", kHere, true, 1), std::nullopt);
 }
 
 TEST(ReattachTimes, AttemptsGoOnUntilThePlatformsTimeIsOver) {
--- /dev/null
+++ b/tests/policy/retry_policy_test.cpp
@@ -0,0 +1,59 @@
+// The rules on repeats, each at its edge.
+#include "policy/retry_policy.h"
+
+#include <gtest/gtest.h>
+
+#include <vector>
+
+using namespace dapplewharf;
+
+namespace {
+
+constexpr Duration kWindow = 5 * kSecond;
+const EndpointLocation kHere{"h0", "near", 1};
+const EndpointLocation kFar{"h1", "far", 2};
+
+std::vector<Attempt> ended_attempt(bool may_have_run) {
+  return {{kHere, 0, false, may_have_run}};
+}
+
+}  // namespace
+
+TEST(RetryPolicy, OnlyWhatNeverReachedItsEndpointOrWasRefusedThereCannotHaveRun) {
+  for (const Outcome outcome :
+       {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent, Outcome::withdrawn}) {
+    EXPECT_FALSE(may_have_run(outcome)) << name_of(outcome);
+  }
+  for (const Outcome outcome : {Outcome::succeeded, Outcome::error, Outcome::timed_out,
+                                Outcome::connection_lost, Outcome::cancelled}) {
+    EXPECT_TRUE(may_have_run(outcome)) << name_of(outcome);
+  }
+}
+
+TEST(RetryPolicy, AnAttemptInFlightForbidsARepeatOfAnyKind) {
+  const std::vector<Attempt> attempts{{kHere, 0, true, false}};
+  for (const auto idempotency :
+       {Idempotency::idempotent, Idempotency::deduplicated, Idempotency::non_idempotent}) {
+    EXPECT_EQ(check_repeat({idempotency, DeduplicationScope::all, kWindow}, attempts, std::nullopt, 0),
+              RepeatObstacle::attempt_in_flight);
+  }
+}
+
+TEST(RetryPolicy, TheScopeCountsOnceATargetIsKnown) {
+  const RepeatRule rule{Idempotency::deduplicated, DeduplicationScope::zone, kWindow};
+  const TimePoint last = kWindow - kRepeatMargin - 1;
+  EXPECT_EQ(check_repeat(rule, ended_attempt(true), std::nullopt, last), std::nullopt);
+  EXPECT_EQ(check_repeat(rule, ended_attempt(true), std::nullopt, last + 1), RepeatObstacle::may_have_run);
+  EXPECT_EQ(check_repeat(rule, ended_attempt(true), kHere, last), std::nullopt);
+  EXPECT_EQ(check_repeat(rule, ended_attempt(true), kFar, last), RepeatObstacle::may_have_run);
+  EXPECT_EQ(check_repeat(rule, ended_attempt(false), kFar, last + 1), std::nullopt);
+}
+
+TEST(RetryPolicy, ARejectionNeedsARepeatThatIsHarmlessAnywhere) {
+  EXPECT_TRUE(may_be_rejected({Idempotency::idempotent, DeduplicationScope::cell, 0}, ended_attempt(true)));
+  EXPECT_TRUE(may_be_rejected({Idempotency::deduplicated, DeduplicationScope::all, 0}, ended_attempt(true)));
+  EXPECT_FALSE(
+      may_be_rejected({Idempotency::deduplicated, DeduplicationScope::zone, 0}, ended_attempt(true)));
+  EXPECT_FALSE(may_be_rejected({Idempotency::non_idempotent, {}, 0}, ended_attempt(true)));
+  EXPECT_TRUE(may_be_rejected({Idempotency::non_idempotent, {}, 0}, ended_attempt(false)));
+}
