--- a/tests/emulator/simulation_test.cpp
+++ b/tests/emulator/simulation_test.cpp
@@ -1,11 +1,12 @@
 // Whole runs in virtual time: the same bytes for the same seed, every rule findable, and the module keeping
 // all of them.
+#include "emulator/sim/simulation.h"
+
 #include <gtest/gtest.h>
 
 #include <filesystem>
 
 #include "emulator/sim/policy.h"
-#include "emulator/sim/sim.h"
 #include "emulator/sweep.h"
 
 namespace dapplewharf::emulator {
@@ -76,7 +77,7 @@
                                          "node-killed", "zone-cut", "neighbour", "growth", "everything",
                                          "small", "unrepeatable"));
 
-TEST(Sim, ATroubleCostsWhatItShould) {
+TEST(Sim, AFaultCostsWhatItShould) {
   const double calm = simulate(example("calm"), 1, "dapplewharf").service();
   EXPECT_GT(calm, 0.99);
   EXPECT_LT(simulate(example("silent"), 1, "dapplewharf").service(), calm - 0.02);
