--- a/src/node/attempt_result.cpp
+++ b/src/node/attempt_result.cpp
@@ -32,23 +32,6 @@
   return result.reason == TerminationReason::timed_out ? Outcome::timed_out : Outcome::connection_lost;
 }
 
-bool may_have_run(Outcome outcome) {
-  switch (outcome) {
-    case Outcome::rejected:
-    case Outcome::connect_failed:
-    case Outcome::not_sent:
-    case Outcome::withdrawn:
-      return false;
-    case Outcome::succeeded:
-    case Outcome::error:
-    case Outcome::timed_out:
-    case Outcome::connection_lost:
-    case Outcome::cancelled:
-      return true;
-  }
-  return true;
-}
-
 const char* name_of(AttemptProgress progress) {
   switch (progress) {
     case AttemptProgress::not_connected:
--- a/src/node/attempt_result.h
+++ b/src/node/attempt_result.h
@@ -40,10 +40,6 @@
 /// The outcome that the load balancer is told for `result`.
 [[nodiscard]] Outcome outcome_of(AttemptResult result);
 
-/// Whether the host may have acted on the request of an attempt that ended with `outcome`, so that a retry
-/// could run it a second time.
-[[nodiscard]] bool may_have_run(Outcome outcome);
-
 /// Names for the log, in snake case.
 [[nodiscard]] const char* name_of(AttemptProgress progress);
 [[nodiscard]] const char* name_of(TerminationReason reason);
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -104,7 +104,7 @@
     return;
   }
   const std::string id = id_of(handle);
-  if (const Violation violation = ledger_.may_answer(id, FinalAnswer::up); violation != Violation::none) {
+  if (const auto violation = ledger_.check_answer(id, FinalAnswer::up)) {
     report_violation("pass on UP to", id, violation);
   }
   ledger_.answered(id);
@@ -200,7 +200,7 @@
   }
   // An adopted connection is nothing new to its host: it was open there before.
   const bool permitted = request->adopted || endpoints_.permits(request->host, EndpointUse::new_request);
-  return ledger_.may_send(id_of(handle), permitted, loop_.now()) == Violation::none;
+  return !ledger_.check_send(id_of(handle), permitted, loop_.now());
 }
 
 void RequestHandler::on_line_answered(Handle handle, Duration latency) {
@@ -227,8 +227,8 @@
   request->sent_at = loop_.now();
   ++request->attempts;
   request->attempt_in_progress = true;
-  const Violation violation = begin_attempt(*request, id, {.total = timeout, .connect = std::nullopt});
-  if (violation == Violation::none) {
+  const auto violation = begin_attempt(*request, id, {.total = timeout, .connect = std::nullopt});
+  if (!violation) {
     return;
   }
   report_violation("begin an attempt for", id, violation);
@@ -242,19 +242,18 @@
 }
 
 // The one way to an attempt: nothing goes to a host that the ledger refuses.
-Violation RequestHandler::begin_attempt(Request& request, const std::string& id,
-                                        const AttemptTimeouts& timeouts) {
+std::optional<Violation> RequestHandler::begin_attempt(Request& request, const std::string& id,
+                                                       const AttemptTimeouts& timeouts) {
   const EndpointLocation location = endpoints_.location(request.host);
   // Whether the endpoint drains is asked just before the first byte is sent.
-  const Violation violation = ledger_.may_begin(id, location, true, loop_.now());
-  if (violation != Violation::none) {
+  if (const auto violation = ledger_.check_attempt(id, location, true, loop_.now())) {
     return violation;
   }
   ledger_.begun(id, location, loop_.now());
   connections_.begin_attempt(request.handle, {.address = address_of(endpoints_.address(request.host)),
                                               .timeout = timeouts.total,
                                               .connect_timeout = timeouts.connect});
-  return Violation::none;
+  return std::nullopt;
 }
 
 void RequestHandler::cancel_attempt(const std::string& id) {
@@ -300,31 +299,31 @@
     return;
   }
   const Handle handle = request->handle;
-  const Violation violation = ledger_.may_answer(id, kind);
-  const bool failed_instead = violation == Violation::effect_may_repeat;
-  if (violation != Violation::none) {
+  const auto violation = ledger_.check_answer(id, kind);
+  const bool failed_instead = violation == Violation::may_have_run;
+  if (violation) {
     report_violation("answer", id, violation);
   }
   ledger_.answered(id);
   release(id);
-  if (violation == Violation::none || failed_instead) {
+  if (!violation || failed_instead) {
     connections_.answer(handle, failed_instead ? kErrorLine : line);
   }
 }
 
 void RequestHandler::release(const std::string& id) {
   if (ledger_.close(id)) {
-    report_violation("close unanswered", id, Violation::none);
+    report_violation("close unanswered", id, std::nullopt);
   }
   requests_.erase(id);
 }
 
 void RequestHandler::report_violation(const std::string& operation, const std::string& id,
-                                      Violation violation) {
+                                      std::optional<Violation> violation) {
   ++counters_.rule_violations;
   const Request* request = find(id);
   spdlog::error("rule_violation operation=\"{}\" request={} violation=\"{}\"", operation,
-                request ? request->client_id : id, name_of(violation));
+                request ? request->client_id : id, violation ? name_of(*violation) : "none");
 }
 
 // ---- adopted connections ----
@@ -339,8 +338,7 @@
   if (shutdown_.in_progress()) {
     timeout = std::max<Duration>(1, std::min(timeout, shutdown_.answers_due() - loop_.now()));
   }
-  const Violation violation = begin_attempt(*request, id_of(handle), {.total = timeout, .connect = timeout});
-  if (violation == Violation::none) {
+  if (!begin_attempt(*request, id_of(handle), {.total = timeout, .connect = timeout})) {
     return;
   }
   request->between_attempts = true;
@@ -355,10 +353,17 @@
   }
   const bool listed = !endpoints_.address(request.host).empty();
   const bool permitted = endpoints_.permits(request.host, EndpointUse::reconnect_later);
+<<<<<<< HEAD
   const Violation violation =
       ledger_.may_begin(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
   std::optional<Duration> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
   if (violation != Violation::none || shutdown_.in_progress()) {
+=======
+  const auto violation =
+      ledger_.check_attempt(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
+  std::optional<Tenths> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
+  if (violation || shutdown_.in_progress()) {
+>>>>>>> part-b
     delay.reset();
   }
   log_reconnect(request, result, delay, violation);
@@ -372,18 +377,24 @@
   return true;
 }
 
+<<<<<<< HEAD
 void RequestHandler::log_reconnect(const Request& request, AttemptResult result,
                                    std::optional<Duration> delay, Violation violation) const {
   const Duration duration = loop_.now() - request.sent_at;
+=======
+void RequestHandler::log_reconnect(const Request& request, AttemptResult result, std::optional<Tenths> delay,
+                                   std::optional<Violation> violation) const {
+  const Tenths duration = loop_.now() - request.sent_at;
+>>>>>>> part-b
   if (delay) {
     spdlog::info("reconnect_scheduled request={} host={} duration_ms={} progress={} reason={} delay_ms={}",
                  request.client_id, request.host, duration / kMs, name_of(result.progress),
                  name_of(result.reason), *delay / kMs);
     return;
   }
-  const char* cause = violation != Violation::none ? name_of(violation)
-                      : shutdown_.in_progress()    ? "the node ends"
-                                                   : "its time is over";
+  const char* cause = violation                 ? name_of(*violation)
+                      : shutdown_.in_progress() ? "the node ends"
+                                                : "its time is over";
   spdlog::warn("reconnect_abandoned request={} host={} duration_ms={} progress={} reason={} cause=\"{}\"",
                request.client_id, request.host, duration / kMs, name_of(result.progress),
                name_of(result.reason), cause);
--- a/src/node/request_handler.h
+++ b/src/node/request_handler.h
@@ -106,17 +106,27 @@
   static std::string id_of(Handle handle);
   Request* find(Handle handle);
   Request* find(const std::string& id);
+<<<<<<< HEAD
   [[nodiscard]] RequestAttributes attributes_of(const std::string& id, const RequestLine& line) const;
   Violation begin_attempt(Request& request, const std::string& id, const AttemptTimeouts& timeouts);
   void reconnect(Handle handle);
   bool reconnect_later(Handle handle, Request& request, AttemptResult result);
   void log_reconnect(const Request& request, AttemptResult result, std::optional<Duration> delay,
                      Violation violation) const;
+=======
+  std::optional<Violation> begin_attempt(Request& request, const std::string& id,
+                                         const AttemptTimeouts& timeouts);
+  void reconnect(Handle handle);
+  bool reconnect_later(Handle handle, Request& request, AttemptResult result);
+  void log_reconnect(const Request& request, AttemptResult result, std::optional<Tenths> delay,
+                     std::optional<Violation> violation) const;
+>>>>>>> part-b
   void report_attempt_end(Handle handle, Request& request, Outcome outcome);
   void count(Outcome outcome);
   void answer(const std::string& id, FinalAnswer kind, const std::string& line);
   void release(const std::string& id);
-  void report_violation(const std::string& operation, const std::string& id, Violation violation);
+  void report_violation(const std::string& operation, const std::string& id,
+                        std::optional<Violation> violation);
 
   EventLoop& loop_;
   Counters& counters_;
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -11,13 +11,6 @@
 
 namespace dapplewharf {
 
-struct Attempt {
-  std::string host;
-  TimePoint sent = 0;
-  bool out = true;  // its result has not come
-  bool may_have_run = true;
-};
-
 struct Request {
   RequestAttributes attributes;
   RepeatRule repeat_rule;
@@ -42,7 +35,7 @@
       return;
     }
     for (const Attempt& made : found->second.tries) {
-      if (made.out) {
+      if (made.in_flight) {
         return;
       }
     }
@@ -77,7 +70,7 @@
     Request& held = open(event.request);
     held.standing = true;
     held.pending = event.is_pending;
-    held.tries.push_back({event.endpoint, context_.now, true, true});
+    held.tries.push_back({{event.endpoint, {}, {}}, context_.now, true, true});
     context_.post_to_endpoint(event.endpoint, ConnectionOpened{});
   }
 
@@ -198,16 +191,15 @@
       return;
     }
     Attempt& last = held.tries[static_cast<std::size_t>(event.attempt)];
-    if (!std::exchange(last.out, false)) {
+    if (!std::exchange(last.in_flight, false)) {
       return;
     }
-    last.may_have_run = event.outcome != Outcome::rejected && event.outcome != Outcome::connect_failed &&
-                        event.outcome != Outcome::not_sent;
+    last.may_have_run = may_have_run(event.outcome);
     Outcome told = event.outcome;
     // Danger: a host that leaves while its connection comes up would cost the attachment one of its tries.
     if (event.outcome == Outcome::withdrawn) {
       --out_;
-      context_.post_to_endpoint(last.host, AttemptFinished{event.outcome, false});
+      context_.post_to_endpoint(last.location.host, AttemptFinished{event.outcome, false});
       if (held.tries.size() > 1 && !further_.empty()) {
         further_.pop_back();
       }
@@ -219,13 +211,13 @@
       // Danger: a host that takes no connection is down by itself, whatever stands behind the others.
       if (event.outcome != Outcome::cancelled && event.outcome != Outcome::not_sent &&
           event.outcome != Outcome::connect_failed) {
-        learn(last.host, false);
+        learn(last.location.host, false);
         if (behind_all()) {
           told = Outcome::cancelled;
         }
       }
     }
-    context_.post_to_endpoint(last.host, AttemptFinished{told, held.standing});
+    context_.post_to_endpoint(last.location.host, AttemptFinished{told, held.standing});
     if (event.is_final || held.standing) {
       held.answered = true;
     }
@@ -243,7 +235,7 @@
       if (!held.standing || held.answered) {
         continue;
       }
-      if (!host.empty() && held.tries.back().host != host) {
+      if (!host.empty() && held.tries.back().location.host != host) {
         continue;
       }
       // Danger: one that is still to come up again would be ended by a trouble that may pass.
@@ -265,7 +257,7 @@
 
   void move(Request& held) {
     held.answered = true;  // the client comes again as a new attachment
-    context_.act(MigrateConnection{held.attributes.id, held.tries.back().host});
+    context_.act(MigrateConnection{held.attributes.id, held.tries.back().location.host});
     moved_.push_back(context_.now);
   }
 
@@ -277,21 +269,7 @@
     if (static_cast<double>(held.tries.size()) >= context_.settings.max_attempts) {
       return false;
     }
-    for (const Attempt& earlier : held.tries) {
-      if (earlier.out) {
-        return false;  // danger: two out; a cancelled one is out until its result has come
-      }
-      if (!earlier.may_have_run || held.repeat_rule.idempotency == Idempotency::idempotent) {
-        continue;
-      }
-      if (held.repeat_rule.idempotency != Idempotency::deduplicated) {
-        return false;  // danger: an unrepeatable effect happens twice
-      }
-      if (context_.now - earlier.sent + kRepeatMargin >= held.repeat_rule.window) {
-        return false;
-      }
-    }
-    return true;
+    return !check_repeat(held.repeat_rule, held.tries, std::nullopt, context_.now);
   }
 
   // Danger: each failure answered by another try makes one host's trouble everybody's work. Where tries
@@ -312,21 +290,6 @@
            budget->min_retries + budget->retry_ratio * static_cast<double>(taken_.size());
   }
 
-  // The one place that decides whether an attachment may be rejected: that says that a repeat is harmless.
-  bool may_be_rejected(const Request& held) const {
-    if (held.repeat_rule.idempotency == Idempotency::idempotent) {
-      return true;
-    }
-    for (const Attempt& earlier : held.tries) {
-      if ((earlier.out || earlier.may_have_run) &&
-          !(held.repeat_rule.idempotency == Idempotency::deduplicated &&
-            held.repeat_rule.scope == DeduplicationScope::all)) {
-        return false;
-      }
-    }
-    return true;
-  }
-
   // Fairness: what lies beyond a tenant's share gives way first, and only while room is short.
   bool beyond_share(const Request& held) const {
     const Tenant* tenant = context_.settings.find_tenant(held.attributes.tenant);
@@ -353,15 +316,15 @@
       for (const auto& [id, other] : held_) {
         if (other.standing && !other.answered &&
             other.attributes.affinity_group == held.attributes.affinity_group) {
-          query->affinity_endpoints.insert(other.tries.back().host);
+          query->affinity_endpoints.insert(other.tries.back().location.host);
           ++query->group_connections;
         }
       }
     }
     for (const Attempt& earlier : held.tries) {
-      query->tried.push_back(earlier.host);
+      query->tried.push_back(earlier.location.host);
       if (held.repeat_rule.idempotency == Idempotency::deduplicated && earlier.may_have_run) {
-        query->deduplicating_endpoint = earlier.host;
+        query->deduplicating_endpoint = earlier.location.host;
       }
     }
     query->scope = held.repeat_rule.scope;
@@ -399,7 +362,7 @@
       }
       further_.push_back(context_.now);
     }
-    held.tries.push_back({host, context_.now, true, true});
+    held.tries.push_back({{host, {}, {}}, context_.now, true, true});
     ++out_;
     context_.act(StartAttempt{id, host, time_out(held)});
   }
@@ -428,7 +391,7 @@
       return;
     }
     const std::string& id = held.attributes.id;
-    if (!may_be_rejected(held)) {
+    if (!may_be_rejected(held.repeat_rule, held.tries)) {
       return context_.act(FailRequest{id});
     }
     const Settings& settings = context_.settings;
--- a/tests/node/attempt_result_test.cpp
+++ b/tests/node/attempt_result_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "policy/retry_policy.h"
+
 using namespace dapplewharf;
 
 TEST(AttemptResult, OnlyWhatWasRejectedOrNeverSentCannotHaveRun) {
