--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -4,8 +4,10 @@
 #include <map>
 #include <set>
 
+#include "policy/adaptive_attempt_limit.h"
 #include "policy/constants.h"
 #include "policy/messages.h"
+#include "policy/retry_budget.h"
 #include "policy/retry_policy.h"
 
 namespace dapplewharf {
@@ -58,9 +60,7 @@
 
   void handle(const RequestReceived& event) {
     Request& held = open(event.request);
-    if (context_.settings.retry_budget) {
-      taken_.push_back(context_.now);
-    }
+    retry_budget_.record_arrival(context_.settings.retry_budget, context_.now);
     seek(held);
     forget(event.request.id);
   }
@@ -148,42 +148,22 @@
   void stands(Request& held, const AttemptEstablished& event) {
     held.pending = false;
     if (!std::exchange(held.standing, true)) {
-      --out_;  // a connection from before was no try of this node
+      --attempts_in_flight_;  // a connection from before was no try of this node
     }
     keep_last(times_, event.setup_time, kTimes);
     // The time beyond which a set-up counts as a bad one.
     const Duration longest_good = setup_latency_objective(held).value_or(0) / 2;
     const bool in_time = event.setup_time <= longest_good;
-    learn(event.endpoint, in_time);
-    context_.post_to_endpoint(event.endpoint, AttemptSucceeded{in_time || behind_all()});
+    record_setup(event.endpoint, in_time);
+    context_.post_to_endpoint(
+        event.endpoint, AttemptSucceeded{in_time || attempt_limit_.shared_dependency_fails(context_.now)});
   }
 
-  // Danger: what stands behind all hosts (a store) is slow or full, and all nodes' repeats keep it full. When
-  // set-ups go wrong at most hosts in a second no host is blamed; as many are out as still come through.
-  void learn(const std::string& host, bool good) {
-    std::erase_if(lately_, [&](const auto& one) { return context_.now - one.second.first > kSecond; });
-    lately_[host] = {context_.now, good};
-    if (good) {
-      window_ += 1 / window_, good_at_ = context_.now;
-    }
-    if (good || !behind_all() || context_.now - cut_at_ < kPulse * 2) {
-      return;
-    }
-    if (!limited()) {
-      window_ = out_ + 1, context_.log("set-ups go wrong at most hosts, out " + std::to_string(out_));
+  void record_setup(const std::string& endpoint, bool is_good) {
+    if (attempt_limit_.record_setup(endpoint, is_good, attempts_in_flight_, context_.now)) {
+      context_.log("set-ups go wrong at most hosts, out " + std::to_string(attempts_in_flight_));
     }
-    window_ = std::max(1.0, window_ / 2), cut_at_ = context_.now;
   }
-  bool behind_all() const {
-    const auto bad =
-        std::count_if(lately_.begin(), lately_.end(), [](auto& one) { return !one.second.second; });
-    // Danger: with few out results come one by one, and each would be taken for its host's fault.
-    if (limited() && good_at_ < cut_at_) {
-      return true;
-    }
-    return bad >= kBadRun && bad * 2 > static_cast<std::ptrdiff_t>(lately_.size());
-  }
-  bool limited() const { return cut_at_ > 0 && context_.now - cut_at_ < kTroubleHeld; }
 
   void ended(Request& held, const AttemptEnded& event) {
     if (event.attempt < 0 || event.attempt >= static_cast<int>(held.tries.size())) {
@@ -197,21 +177,21 @@
     Outcome told = event.outcome;
     // Danger: a host that leaves while its connection comes up would cost the attachment one of its tries.
     if (event.outcome == Outcome::withdrawn) {
-      --out_;
+      --attempts_in_flight_;
       context_.post_to_endpoint(last.location.host, AttemptFinished{event.outcome, false});
-      if (held.tries.size() > 1 && !further_.empty()) {
-        further_.pop_back();
+      if (held.tries.size() > 1) {
+        retry_budget_.withdraw_retry();
       }
       held.tries.pop_back();
       return held.answered ? void() : seek(held);
     }
     if (!held.standing) {
-      --out_;
+      --attempts_in_flight_;
       // Danger: a host that takes no connection is down by itself, whatever stands behind the others.
       if (event.outcome != Outcome::cancelled && event.outcome != Outcome::not_sent &&
           event.outcome != Outcome::connect_failed) {
-        learn(last.location.host, false);
-        if (behind_all()) {
+        record_setup(last.location.host, false);
+        if (attempt_limit_.shared_dependency_fails(context_.now)) {
           told = Outcome::cancelled;
         }
       }
@@ -271,22 +251,8 @@
     return !check_repeat(held.repeat_rule, held.tries, std::nullopt, context_.now);
   }
 
-  // Danger: each failure answered by another try makes one host's trouble everybody's work. Where tries
-  // beyond the first are rationed, whoever finds none left is answered at once. A tick to the safe side at
-  // both ends.
-  bool budget_allows() {
-    const std::optional<RetryBudgetSettings>& budget = context_.settings.retry_budget;
-    if (!budget) {
-      return true;
-    }
-    while (!taken_.empty() && context_.now - taken_.front() >= budget->window) {
-      taken_.pop_front();
-    }
-    while (!further_.empty() && context_.now - further_.front() > budget->window + 1) {
-      further_.pop_front();
-    }
-    return static_cast<double>(further_.size() + 1) <=
-           budget->min_retries + budget->retry_ratio * static_cast<double>(taken_.size());
+  bool budget_allows_retry() {
+    return retry_budget_.allows_retry(context_.settings.retry_budget, context_.now);
   }
 
   // Fairness: what lies beyond a tenant's share gives way first, and only while room is short.
@@ -303,10 +269,10 @@
   }
 
   void seek(Request& held) {
-    if (!may_be_tried_again(held) || (limited() && out_ >= window_)) {
+    if (!may_be_tried_again(held) || attempt_limit_.forbids_attempt(attempts_in_flight_, context_.now)) {
       return give_up(held);
     }
-    if (!budget_allows() && !held.tries.empty()) {
+    if (!budget_allows_retry() && !held.tries.empty()) {
       return give_up(held);  // asked of all: old ones go
     }
     auto query = std::make_shared<SelectionQuery>();
@@ -355,14 +321,15 @@
   void send(const std::string& id, const std::string& host) {
     Request& held = held_[id];
     if (!held.tries.empty()) {
-      if (!budget_allows()) {  // spent since it was sought: the host has counted it, and counts it out again
+      if (!budget_allows_retry()) {  // spent since it was sought: the host has counted it, and counts it out
+                                     // again
         context_.post_to_endpoint(host, AttemptFinished{Outcome::not_sent, false});
         return give_up(held);
       }
-      further_.push_back(context_.now);
+      retry_budget_.record_retry(context_.now);
     }
     held.tries.push_back({{host, {}, {}}, context_.now, true, true});
-    ++out_;
+    ++attempts_in_flight_;
     context_.act(StartAttempt{id, host, time_out(held)});
   }
 
@@ -375,7 +342,7 @@
     // Danger: given up early, a set-up behind a slow store is work done for nobody, and its repeat is more of
     // it.
     if (held.repeat_rule.idempotency == Idempotency::non_idempotent || held.attributes.is_mid_connection ||
-        limited()) {
+        attempt_limit_.is_active(context_.now)) {
       return left;
     }
     std::vector<Tenths> sorted(times_.begin(), times_.end());
@@ -401,15 +368,12 @@
 
   PolicyContext& context_;
   std::map<std::string, Request> held_;
-  std::map<std::string, std::pair<Tenths, bool>>
-      lately_;         // each host's last set-up of this second: when, good
-  double window_ = 1;  // set-ups that may be out while they go wrong everywhere
-  int out_ = 0;
-  Tenths good_at_ = 0;                  // when a set-up last went well
-  Tenths cut_at_ = 0, none_at_ = 0;     // none: in a crowd an attachment found no host
-  std::deque<Tenths> times_;            // of the last set-ups that stood
-  std::deque<Tenths> taken_, further_;  // where rationed: attachments taken, and tries beyond a first
-  std::deque<Tenths> moved_;            // when connections were moved, over the last second
+  RetryBudget retry_budget_;
+  AdaptiveAttemptLimit attempt_limit_;
+  int attempts_in_flight_ = 0;  // without established connections
+  Tenths none_at_ = 0;          // when a request last found no endpoint during a surge
+  std::deque<Tenths> times_;    // of the last set-ups that stood
+  std::deque<Tenths> moved_;    // when connections were moved, over the last second
 };
 
 }  // namespace dapplewharf
