--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -353,17 +353,10 @@
   }
   const bool listed = !endpoints_.address(request.host).empty();
   const bool permitted = endpoints_.permits(request.host, EndpointUse::reconnect_later);
-<<<<<<< HEAD
-  const Violation violation =
-      ledger_.may_begin(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
-  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
-  if (violation != Violation::none || shutdown_.in_progress()) {
-=======
   const auto violation =
       ledger_.check_attempt(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
-  std::optional<Tenths> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
+  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
   if (violation || shutdown_.in_progress()) {
->>>>>>> part-b
     delay.reset();
   }
   log_reconnect(request, result, delay, violation);
@@ -377,15 +370,9 @@
   return true;
 }
 
-<<<<<<< HEAD
-void RequestHandler::log_reconnect(const Request& request, AttemptResult result,
-                                   std::optional<Duration> delay, Violation violation) const {
-  const Duration duration = loop_.now() - request.sent_at;
-=======
-void RequestHandler::log_reconnect(const Request& request, AttemptResult result, std::optional<Tenths> delay,
+void RequestHandler::log_reconnect(const Request& request, AttemptResult result, std::optional<Duration> delay,
                                    std::optional<Violation> violation) const {
-  const Tenths duration = loop_.now() - request.sent_at;
->>>>>>> part-b
+  const Duration duration = loop_.now() - request.sent_at;
   if (delay) {
     spdlog::info("reconnect_scheduled request={} host={} duration_ms={} progress={} reason={} delay_ms={}",
                  request.client_id, request.host, duration / kMs, name_of(result.progress),
--- a/src/node/request_handler.h
+++ b/src/node/request_handler.h
@@ -106,21 +106,13 @@
   static std::string id_of(Handle handle);
   Request* find(Handle handle);
   Request* find(const std::string& id);
-<<<<<<< HEAD
   [[nodiscard]] RequestAttributes attributes_of(const std::string& id, const RequestLine& line) const;
-  Violation begin_attempt(Request& request, const std::string& id, const AttemptTimeouts& timeouts);
-  void reconnect(Handle handle);
-  bool reconnect_later(Handle handle, Request& request, AttemptResult result);
-  void log_reconnect(const Request& request, AttemptResult result, std::optional<Duration> delay,
-                     Violation violation) const;
-=======
   std::optional<Violation> begin_attempt(Request& request, const std::string& id,
                                          const AttemptTimeouts& timeouts);
   void reconnect(Handle handle);
   bool reconnect_later(Handle handle, Request& request, AttemptResult result);
-  void log_reconnect(const Request& request, AttemptResult result, std::optional<Tenths> delay,
+  void log_reconnect(const Request& request, AttemptResult result, std::optional<Duration> delay,
                      std::optional<Violation> violation) const;
->>>>>>> part-b
   void report_attempt_end(Handle handle, Request& request, Outcome outcome);
   void count(Outcome outcome);
   void answer(const std::string& id, FinalAnswer kind, const std::string& line);
