--- a/Makefile
+++ b/Makefile
@@ -33,6 +33,7 @@
 lint:
 	clang-format --dry-run --Werror $$(git ls-files 'src/*.cpp' 'src/*.h' 'tests/*.cpp' 'tests/*.h')
 	@tools/check_file_length.sh
+	@tools/check_architecture.sh
 	@tools/lint.sh
 	@! grep -nE '^.{111,}' $$(git ls-files 'src/*.cpp' 'src/*.h') || { echo "lines over 110 characters"; exit 1; }
 
