--- a/src/emulator/sim/node_simulator.cpp
+++ b/src/emulator/sim/node_simulator.cpp
@@ -11,7 +11,6 @@
 #include "emulator/sim/endpoint_list_service.h"
 #include "emulator/sim/health_check_simulator.h"
 #include "emulator/sim/sim_time.h"
-#include "policy/flat_words.h"
 
 namespace dapplewharf::emulator {
 namespace {
--- a/src/node/node_settings.cpp
+++ b/src/node/node_settings.cpp
@@ -4,7 +4,6 @@
 #include <nlohmann/json.hpp>
 
 #include "config/platform_settings.h"
-#include "policy/flat_words.h"
 
 namespace dapplewharf {
 
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -291,8 +291,8 @@
   connections_.migrate(handle);
 }
 
-// The one way to a final answer. A rejection says that a retry is harmless; where it is not, the client is
-// told of a failure in its place.
+// The one way to the final answers BUSY and ERR. A rejection says that a retry is harmless; where it is not,
+// the client is told of a failure in its place.
 void RequestHandler::answer(const std::string& id, FinalAnswer kind, const std::string& line) {
   const Request* request = find(id);
   if (!request) {
@@ -370,8 +370,8 @@
   return true;
 }
 
-void RequestHandler::log_reconnect(const Request& request, AttemptResult result, std::optional<Duration> delay,
-                                   std::optional<Violation> violation) const {
+void RequestHandler::log_reconnect(const Request& request, AttemptResult result,
+                                   std::optional<Duration> delay, std::optional<Violation> violation) const {
   const Duration duration = loop_.now() - request.sent_at;
   if (delay) {
     spdlog::info("reconnect_scheduled request={} host={} duration_ms={} progress={} reason={} delay_ms={}",
--- a/src/policy/adaptive_attempt_limit.cpp
+++ b/src/policy/adaptive_attempt_limit.cpp
@@ -16,7 +16,7 @@
     last_good_at_ = now;
     return false;
   }
-  if (!shared_dependency_fails(now) || now - last_decrease_at_ < kPulse * 2) {
+  if (!shared_dependency_fails(now) || now - last_decrease_at_ < kTimerInterval * 2) {
     return false;
   }
   const bool takes_effect = !is_active(now);
@@ -35,11 +35,11 @@
   }
   const auto failing = std::count_if(latest_results_.begin(), latest_results_.end(),
                                      [](const auto& entry) { return !entry.second.is_good; });
-  return failing >= kBadRun && failing * 2 > static_cast<std::ptrdiff_t>(latest_results_.size());
+  return failing >= kFailuresToDegrade && failing * 2 > static_cast<std::ptrdiff_t>(latest_results_.size());
 }
 
 bool AdaptiveAttemptLimit::is_active(TimePoint now) const {
-  return last_decrease_at_ > 0 && now - last_decrease_at_ < kTroubleHeld;
+  return last_decrease_at_ > 0 && now - last_decrease_at_ < kFleetConditionHeld;
 }
 
 bool AdaptiveAttemptLimit::forbids_attempt(int in_flight, TimePoint now) const {
--- a/src/policy/backoff.h
+++ b/src/policy/backoff.h
@@ -1,8 +1,6 @@
-// When the list service is asked: first, and again after calls to it that were lost. The one place for these
-// waits, for the decision module and the node; only while what a silent watch or a place left behind has
-// missed counts as told soon does the connection to that service ask again by itself (node/discovery). Owns
-// two figures of the settings; reads no clock, draws no chance and asks nobody itself. Spans are in tenths of
-// a millisecond, shares of chance from 0 to 1.
+// When the endpoint list service is asked: at the start, and again after calls that failed. The one place for
+// these waits, for the policy and the node. Owns two figures of the settings; reads no clock, draws no chance
+// and sends nothing. Times are in ticks of 0.1 ms, chance is from 0 to 1.
 #pragma once
 #include <algorithm>
 
@@ -12,40 +10,42 @@
 
 class Backoff {
  public:
-  // Operators' term: whatever happened to calls before, a change counts as told so long after the service had
-  // it and could be reached. What a node may need from the instant on at which the service is back adds up to
-  // no more:
-  //   noticing that the call that is out is lost   kPatience
-  //   the wait before the next one                 kLongest
-  //   that one's turn behind all other nodes'      kTurn, what is left
-  static constexpr Tenths kToldWithin = 6 * kSecond;
-  static constexpr Tenths kPatience = 2 * kSecond;  // for an answer that was not asked to wait
-  static constexpr Tenths kLongest = 1500 * kMs;
-  static constexpr Tenths kTurn = kToldWithin - kPatience - kLongest;
-  static constexpr Tenths kFirst = 250 * kMs;  // after one loss; twice as long after each further one
-  static constexpr Tenths kLeast = 50 * kMs;   // danger: a place that refuses at once is asked without end
-  static constexpr Tenths kShared =
-      40 * kMs;  // nodes that start together ask so far apart, while kLongest allows
-
-  // `most`: no wait is longer, where the settings allow less than kLongest.
-  Backoff(double nodes, Tenths most) : nodes_(nodes), most_(std::clamp(most, kLeast, kLongest)) {}
-
-  // Before the first call of a node that starts. Danger: all that start together are in one queue; but until
-  // it has asked, a node sends to hosts that left long ago.
-  Tenths first(double chance) const {
-    return part(std::min(static_cast<double>(kShared) * nodes_, static_cast<double>(most_)), chance);
+  // Whatever happened to earlier calls, a node counts as notified of a change kToldWithin after the service
+  // had it and could be reached. From the moment at which the service is back a node needs at most:
+  //   to notice that its current call is lost      kPatience
+  //   to wait before the next one                  kLongest
+  //   to be served after all other nodes' calls    kTurn, what is left
+  static constexpr Duration kToldWithin = 6 * kSecond;
+  static constexpr Duration kPatience = 2 * kSecond;  // for an answer that was not asked to wait
+  static constexpr Duration kLongest = 1500 * kMs;
+  static constexpr Duration kTurn = kToldWithin - kPatience - kLongest;
+  static constexpr Duration kFirst = 250 * kMs;  // after one failure; doubled with each further one
+  static constexpr Duration kLeast = 50 * kMs;   // a service that refuses at once is not asked without end
+  static constexpr Duration kShared =
+      40 * kMs;  // between the calls of nodes that start together, as far as kLongest allows
+
+  /// @param longest no wait is longer, where the settings allow less than kLongest.
+  Backoff(double nodes, Duration longest) : nodes_(nodes), longest_(std::clamp(longest, kLeast, kLongest)) {}
+
+  /// The wait before the first call. Nodes that start together share the service; until it has asked, a node
+  /// may send to endpoints that were removed long ago.
+  [[nodiscard]] Duration first(double chance) const {
+    return part(std::min(static_cast<double>(kShared) * nodes_, static_cast<double>(longest_)), chance);
   }
-  // After so many lost calls in a row, 1 at the least. Danger: whoever lost together must not ask together.
-  Tenths again(int losses, double chance) const {
-    const Tenths grown = std::min(kFirst << std::clamp(losses - 1, 0, 8), most_);
+  /// The wait after so many failed calls in a row, 1 at the least; random, so that nodes that failed together
+  /// do not ask together.
+  [[nodiscard]] Duration again(int losses, double chance) const {
+    const Duration grown = std::min(kFirst << std::clamp(losses - 1, 0, 8), longest_);
     return std::max(kLeast, part(static_cast<double>(grown), 0.5 + chance / 2));
   }
 
  private:
-  static Tenths part(double span, double share) { return static_cast<Tenths>(span * share); }
+  [[nodiscard]] static Duration part(double span, double share) {
+    return static_cast<Duration>(span * share);
+  }
 
   double nodes_;
-  Tenths most_;
+  Duration longest_;
 };
 
 }  // namespace dapplewharf
--- a/src/policy/connection_rate_limit.cpp
+++ b/src/policy/connection_rate_limit.cpp
@@ -21,7 +21,7 @@
   }
   const double harmless =
       kHarmlessQuotaShare * conditions.quota_per_size * conditions.size / settings_.node_count;
-  if (conditions.open_connections + kOverBy < harmless) {
+  if (conditions.open_connections + kConnectionsOverMean < harmless) {
     return true;
   }
   const double rate = connections_per_second(conditions);
--- a/src/policy/connection_shedding.cpp
+++ b/src/policy/connection_shedding.cpp
@@ -18,7 +18,7 @@
   if (now < next_batch_at_) {
     return {};
   }
-  const bool starts_episode = now - next_batch_at_ > kStrainHeld;
+  const bool starts_episode = now - next_batch_at_ > kConditionHeld;
   if (starts_episode) {
     episode_started_at_ = now;
   }
@@ -26,7 +26,7 @@
     return {};
   }
   if (reason == SheddingReason::unresponsive) {
-    next_batch_at_ = now + kPulse;
+    next_batch_at_ = now + kTimerInterval;
     return SheddingBatch{.share = 1, .starts_episode = starts_episode};
   }
   next_batch_at_ = now + kBatchInterval;
--- a/src/policy/endpoint.cpp
+++ b/src/policy/endpoint.cpp
@@ -2,15 +2,21 @@
 #include "policy/endpoint.h"
 
 #include <algorithm>
+#include <cmath>
+#include <string>
 #include <utility>
 #include <variant>
 
 #include "policy/constants.h"
-#include "policy/notes.h"
 
 namespace dapplewharf {
 namespace {
 
+std::string two_decimals(double value) {
+  std::string text = std::to_string(std::llround(value * 100) / 100.0);
+  return text.substr(0, text.find('.') + 3);
+}
+
 constexpr int kMaxEndpointsPassedOver = 3;    // checked for one request, before one is taken unchecked
 constexpr double kFullLoad = 0.8;             // of capacity: from here messages queue
 constexpr double kHealthCheckWork = 0.1;      // of the work of a new connection
@@ -68,10 +74,10 @@
   const bool restarted = was_listed_ && entry.started > slow_start_.started();
   status_.zone = entry.zone;
   status_.cell = entry.cell;
-  status_.kind = entry.kind;
+  status_.machine_type = entry.kind;
   status_.size = entry.size > 0 ? entry.size : 1;
   if (message.connections) {
-    status_.elsewhere = std::max(0.0, *message.connections - status_.open);
+    status_.connections_elsewhere = std::max(0.0, *message.connections - status_.open_connections);
   }
   slow_start_.set_started(entry.started);
   if (entry.state != EndpointState::healthy) {
@@ -84,8 +90,8 @@
   if (message.is_new || restarted || first_seen_cold) {
     // At full weight an endpoint in slow start would be overloaded at once.
     ramp_.restart(context_.now);
-    health_.start_over(was_listed_ ? kFullScore : fleet_.score);
-    context_.log("slow start begins endpoint=" + id_ +
+    health_.start_over(was_listed_ ? kFullScore : fleet_.mean_score);
+    context_.log("slow_start_started endpoint=" + id_ +
                  " age_ms=" + std::to_string((context_.now - slow_start_.started()) / kMs));
   }
   was_listed_ = true;
@@ -108,7 +114,7 @@
 }
 
 void Endpoint::handle(const ConnectionOpened&) {
-  ++status_.open;
+  ++status_.open_connections;
 }
 
 void Endpoint::handle(const AttemptSucceeded& message) {
@@ -120,7 +126,7 @@
   if (message.was_established && message.outcome == Outcome::connection_lost) {
     dropped_connection_at_ = context_.now;
   }
-  status_.open = std::max(0, status_.open - 1);
+  status_.open_connections = std::max(0, status_.open_connections - 1);
   if (!concerns_endpoint(message.outcome)) {
     return;
   }
@@ -129,11 +135,11 @@
 }
 
 void Endpoint::handle(const LatencyObserved& message) {
-  latency_.record(context_.now, message.latency, status_.open);
+  latency_.record(context_.now, message.latency, status_.open_connections);
 }
 
 void Endpoint::handle(const GossipObserved& message) {
-  status_.elsewhere = message.connections_elsewhere.value_or(-1);
+  status_.connections_elsewhere = message.connections_elsewhere.value_or(-1);
 }
 
 void Endpoint::handle(const HealthCheckEnded& message) {
@@ -150,7 +156,7 @@
   if (removed_without_drain && context_.settings.only_drains_bind) {
     if (!std::exchange(removal_unconfirmed_, true)) {
       check_schedule_.check_now(context_.now);
-      context_.log("removal left to health checks endpoint=" + id_);
+      context_.log("removal_left_to_health_checks endpoint=" + id_);
     }
     return;
   }
@@ -178,45 +184,47 @@
   if (is_mid_connection) {
     return true;
   }
-  return !latency_.at_connection_cap(context_.now, status_.open) &&
+  return !latency_.at_connection_cap(context_.now, status_.open_connections) &&
          rate_limit_.admits_connection(context_.now, surge_conditions(), sent_work_);
 }
 
 // A draining endpoint may hold the state of a connection that resumes; only the grace period allows to ask
 // it.
 bool Endpoint::may_take_connection_while_leaving(bool is_mid_connection) const {
-  const bool in_grace_period = context_.now - left_service_at_ < context_.settings.drain_grace - kPulse;
+  const bool in_grace_period =
+      context_.now - left_service_at_ < context_.settings.drain_grace - kTimerInterval;
   return state_ == EndpointState::draining && is_mid_connection && in_grace_period;
 }
 
 SlowStartConditions Endpoint::slow_start_conditions() const {
   return {.size = status_.size,
           .sustained_by_warm = sustained_by_warm(),
-          .quota_per_size = fleet_.granted,
-          .selections_per_size = fleet_.sought,
-          .group_selections = fleet_.sought_alike,
-          .is_surge = fleet_.crowd_limit > 0,
+          .quota_per_size = fleet_.quota_per_size,
+          .selections_per_size = fleet_.selections_per_size,
+          .group_selections = fleet_.group_selections,
+          .is_surge = fleet_.surge_rate > 0,
           .reports_headroom = reports_headroom(),
-          .knows_other_nodes_use = status_.elsewhere >= 0};
+          .knows_other_nodes_use = status_.connections_elsewhere >= 0};
 }
 
 SurgeConditions Endpoint::surge_conditions() const {
   return {.size = status_.size,
-          .open_connections = status_.open,
-          .mean_connections = fleet_.mean,
-          .quota_per_size = fleet_.granted,
-          .surge_rate = fleet_.crowd_limit,
+          .open_connections = status_.open_connections,
+          .mean_connections = fleet_.mean_connections,
+          .quota_per_size = fleet_.quota_per_size,
+          .surge_rate = fleet_.surge_rate,
           .reports_headroom = reports_headroom()};
 }
 
 // Connections of this node at a warm endpoint of the same machine type, for size 1. A type that was never
 // seen goes by all types, which are the map's first entry.
 double Endpoint::sustained_by_warm() const {
-  if (!fleet_.bears || fleet_.bears->empty()) {
+  if (!fleet_.sustained_connections || fleet_.sustained_connections->empty()) {
     return 0;
   }
-  const auto same_type = fleet_.bears->find(status_.kind);
-  return same_type == fleet_.bears->end() ? fleet_.bears->begin()->second : same_type->second;
+  const auto same_type = fleet_.sustained_connections->find(status_.machine_type);
+  return same_type == fleet_.sustained_connections->end() ? fleet_.sustained_connections->begin()->second
+                                                          : same_type->second;
 }
 
 // A node that checks an endpoint once in minutes knows nothing of its present load. The request waits for a
@@ -230,7 +238,7 @@
 }
 
 bool Endpoint::at_reported_capacity(const CandidateList& candidates) const {
-  return check_schedule_.checked_recently(context_.now) && status_.load > kFullLoad &&
+  return check_schedule_.checked_recently(context_.now) && status_.reported_load > kFullLoad &&
          candidates.passed_over < kMaxEndpointsPassedOver;
 }
 
@@ -245,7 +253,7 @@
   if (may_take && !at_reported_capacity(candidates)) {
     context_.post_to_request_table(Admitted{.request_id = candidates.request_id, .endpoint = id_});
     sent_work_.add(context_.now, 1);
-    ++status_.open;
+    ++status_.open_connections;
     return;
   }
   Declined declined{candidates};
@@ -261,7 +269,7 @@
   if (!may_check_health() || context_.now < check_schedule_.next_check_at()) {
     return;
   }
-  check_schedule_.note_started(context_.now, health_.in_doubt(), fleet_.watch);
+  check_schedule_.note_started(context_.now, health_.in_doubt(), fleet_.health_check_interval);
   sent_work_.add(context_.now, kHealthCheckWork);
   context_.act(CheckHealth{id_});
 }
@@ -269,8 +277,9 @@
 void Endpoint::record_reported_load(const HealthCheckEnded& check) {
   const std::optional<std::size_t> index = context_.settings.load_report_index;
   const bool reported = index && *index < check.report.size();
-  status_.load = reported ? check.report[*index] : -1;
-  status_.roomy = reported && status_.load < kFullLoad ? context_.now + kSteadyHealthCheckInterval : 0;
+  status_.reported_load = reported ? check.report[*index] : -1;
+  status_.headroom_until =
+      reported && status_.reported_load < kFullLoad ? context_.now + kSteadyHealthCheckInterval : 0;
 }
 
 // After a good check the request is offered to this endpoint once more, otherwise to the next candidate.
@@ -314,9 +323,10 @@
 }
 
 void Endpoint::log_signal_turn(SignalSource source, bool healthy) {
-  context_.log(std::string(source == SignalSource::active ? "active" : "passive") + " health " +
-               (healthy ? "recovered" : "degraded") + " endpoint=" + id_ + " success_share=" +
-               figure(health_.signal(source).success_share()) + " score=" + figure(health_.score()));
+  context_.log(std::string(healthy ? "health_recovered" : "health_degraded") +
+               " signal=" + (source == SignalSource::active ? "active" : "passive") + " endpoint=" + id_ +
+               " success_share=" + two_decimals(health_.signal(source).success_share()) +
+               " score=" + two_decimals(health_.score()));
 }
 
 TimePoint Endpoint::next_ramp_step_at() const {
@@ -329,14 +339,14 @@
   }
   ramp_.advance(context_.now);
   health_.end_inheritance();
-  context_.log("recovery ramp advances endpoint=" + id_ + " weight_share=" + figure(ramp_.share()) +
-               " score=" + figure(health_.score()));
+  context_.log("recovery_ramp_advanced endpoint=" + id_ + " weight_share=" + two_decimals(ramp_.share()) +
+               " score=" + two_decimals(health_.score()));
 }
 
 // Connections on an endpoint that serves nobody are lost until they end. An endpoint that answers health
 // checks with errors may still serve them; one that is slower than any client waits does not.
 std::optional<SheddingReason> Endpoint::shedding_reason() const {
-  if (status_.open == 0) {
+  if (status_.open_connections == 0) {
     return {};
   }
   if (health_.unresponsive() || latency_.over_every_deadline(context_.now)) {
@@ -357,34 +367,35 @@
     return;
   }
   const std::optional<SheddingBatch> batch =
-      shedding_.next_batch(context_.now, *reason, !in_service(), fleet_.frozen);
+      shedding_.next_batch(context_.now, *reason, !in_service(), fleet_.weights_frozen);
   if (!batch) {
     return;
   }
-  context_.post_to_request_table(MigrateConnections{.endpoint = id_,
-                                                    .share = batch->share,
-                                                    .budget = fleet_.spare,
-                                                    .whole_groups = fleet_.each >= kOverBy,
-                                                    .endpoint_is_leaving = !in_service()});
+  context_.post_to_request_table(
+      MigrateConnections{.endpoint = id_,
+                         .share = batch->share,
+                         .budget = fleet_.migration_budget,
+                         .whole_groups = fleet_.connections_per_endpoint >= kConnectionsOverMean,
+                         .endpoint_is_leaving = !in_service()});
   if (batch->starts_episode) {
     log_shedding(*reason);
   }
 }
 
 void Endpoint::log_shedding(SheddingReason reason) {
-  context_.log("shedding connections endpoint=" + id_ + " open=" + std::to_string(status_.open) +
-               " reason=" + name_of(reason) + " latency_ms=" + figure(latency_.latency() / kMs));
+  context_.log("shedding_started endpoint=" + id_ + " open=" + std::to_string(status_.open_connections) +
+               " reason=" + name_of(reason) + " latency_ms=" + two_decimals(latency_.latency() / kMs));
 }
 
 void Endpoint::update_status() {
   status_.score = health_.score();
   status_.weight = status_.score / kFullScore * ramp_.share();
-  status_.healthy = in_service();
-  status_.strained = latency_.slow_until();
-  status_.late = latency_.over_objective_until();
-  status_.shedding = dropped_connection_at_ ? *dropped_connection_at_ + kStrainHeld : 0;
-  status_.cold = slow_start_.ends_at();
-  status_.due = next_wake_up();
+  status_.in_service = in_service();
+  status_.slow_until = latency_.slow_until();
+  status_.over_objective_until = latency_.over_objective_until();
+  status_.dropping_until = dropped_connection_at_ ? *dropped_connection_at_ + kConditionHeld : 0;
+  status_.cold_until = slow_start_.ends_at();
+  status_.wake_at = next_wake_up();
 }
 
 TimePoint Endpoint::next_wake_up() const {
@@ -406,7 +417,7 @@
   }
   context_.post_to_endpoint_set(StatusChanged{.endpoint = id_, .status = status_});
   if (posted_status_) {
-    posted_status_->due = status_.due;
+    posted_status_->wake_at = status_.wake_at;
   }
   if (posted_status_ == status_) {
     return;
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -51,7 +51,7 @@
   [[nodiscard]] SlowStartConditions slow_start_conditions() const;
   [[nodiscard]] SurgeConditions surge_conditions() const;
   [[nodiscard]] double sustained_by_warm() const;
-  [[nodiscard]] bool reports_headroom() const { return status_.roomy > context_.now; }
+  [[nodiscard]] bool reports_headroom() const { return status_.headroom_until > context_.now; }
   [[nodiscard]] bool needs_health_check_first(const CandidateList& candidates) const;
   [[nodiscard]] bool at_reported_capacity(const CandidateList& candidates) const;
   void admit_or_decline(const CandidateList& candidates);
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -6,17 +6,17 @@
 #include <optional>
 
 #include "base/random.h"
+#include "policy/constants.h"
 
 namespace dapplewharf {
 namespace {
 
-constexpr int kPointsOfSizeOne = 30;         // on the ring
-constexpr std::size_t kGoodCandidates = 8;   // more are hardly ever asked
-constexpr double kCandidatesInSurge = 12;    // asked for one group by all nodes together
-constexpr double kWellOverMean = 1.25;       // times the mean
-constexpr double kWellOverMeanForGroup = 4;  // the same where the endpoint holds the request's group
-constexpr double kBusyLoad = 0.3;            // of capacity, over the fleet
-constexpr double kDearZoneCrossing = 0.1;    // of all that service can be worth
+constexpr int kPointsOfSizeOne = 30;        // on the ring
+constexpr std::size_t kGoodCandidates = 8;  // more are hardly ever asked
+constexpr double kCandidatesInSurge = 12;   // asked for one group by all nodes together
+constexpr double kWellOverMean = 1.25;      // times the mean
+constexpr double kBusyLoad = 0.3;           // of capacity, over the fleet
+constexpr double kDearZoneCrossing = 0.1;   // of all that service can be worth
 
 int point_count(const EndpointStatus& status) {
   return std::max(1, static_cast<int>(std::lround(kPointsOfSizeOne * status.size)));
@@ -69,7 +69,7 @@
   candidates.deadline = query.request.deadline;
   candidates.is_mid_connection = query.request.is_mid_connection;
   candidates.endpoints = std::make_shared<const std::vector<std::string>>(
-      limit_candidates(ranked, message.fleet.crowd_limit > 0));
+      limit_candidates(ranked, message.fleet.surge_rate > 0));
   candidates.fleet = message.fleet;
   context_.post_to_request_table(std::move(candidates));
 }
@@ -80,9 +80,10 @@
     ring_.lay(statuses_, point_count);
   }
   const bool is_mid_connection = query.request.is_mid_connection;
-  const bool is_surge = fleet.crowd_limit > 0;
+  const bool is_surge = fleet.surge_rate > 0;
   const TimePoint now = context_.now;
-  const int parts = fleet.alone ? 1 + static_cast<int>(query.group_connections / fleet.each) : 1;
+  const int parts =
+      fleet.is_isolated ? 1 + static_cast<int>(query.group_connections / fleet.connections_per_endpoint) : 1;
   const int part = parts > 1 ? static_cast<int>(context_.random.share() * parts) : 0;
   const auto used_points = [is_mid_connection](const EndpointStatus& status) {
     return static_cast<int>(std::lround((is_mid_connection ? 1 : status.weight) * point_count(status)));
@@ -91,16 +92,16 @@
   std::size_t good = 0;
   ring_.walk(ring_key(query.request, part), used_points,
              [&](const std::string& id, const EndpointStatus& status) {
-               const bool is_overloaded = std::max(status.shedding, status.late) > now;
-               const bool is_usable = is_mid_connection || (!is_overloaded && status.healthy);
+               const bool is_overloaded = std::max(status.dropping_until, status.over_objective_until) > now;
+               const bool is_usable = is_mid_connection || (!is_overloaded && status.in_service);
                if (!is_usable || !is_in_deduplication_scope(query, status)) {
                  return true;
                }
-               if (good < kGoodCandidates || status.cold > now) {
+               if (good < kGoodCandidates || status.cold_until > now) {
                  ranked.emplace_back(tier_of(query, fleet, id, status), &id);
                }
                good += ranked.back().first <= SelectionTier::near ? 1 : 0;
-               return good < kGoodCandidates || (is_surge && fleet.some_cold);
+               return good < kGoodCandidates || (is_surge && fleet.any_cold);
              });
   if (parts > 1 && !ranked.empty() && ranked.front().first <= SelectionTier::far_affinity) {
     ranked.front().first = SelectionTier::affinity;
@@ -120,9 +121,9 @@
   std::vector<std::string> cold;
   for (const auto& [tier, id] : ranked) {
     const EndpointStatus& status = statuses_.at(*id);
-    if (!is_surge || candidates.size() < limit || status.roomy > context_.now) {
+    if (!is_surge || candidates.size() < limit || status.headroom_until > context_.now) {
       candidates.push_back(*id);
-    } else if (status.cold > context_.now && tier < SelectionTier::near_slow) {
+    } else if (status.cold_until > context_.now && tier < SelectionTier::near_slow) {
       cold.push_back(*id);
     }
   }
@@ -155,9 +156,9 @@
   if (!query.request.affinity_group) {
     return false;
   }
-  const bool is_surge = fleet.crowd_limit > 0;
+  const bool is_surge = fleet.surge_rate > 0;
   if (context_.settings.cross_zone_price <= kDearZoneCrossing) {
-    return is_surge || fleet.load > kBusyLoad || !context_.settings.load_report_index;
+    return is_surge || fleet.mean_reported_load > kBusyLoad || !context_.settings.load_report_index;
   }
   return is_surge && query.shortage;
 }
@@ -171,19 +172,19 @@
   if (query.request.is_mid_connection) {
     return near ? SelectionTier::affinity : SelectionTier::near;
   }
-  if (status.strained > context_.now) {
+  if (status.slow_until > context_.now) {
     return near ? SelectionTier::near_slow : SelectionTier::far_slow;
   }
   const bool holds_group = query.affinity_endpoints.count(id) != 0;
   // Where this node holds next to nothing, the connections of all nodes say whether an endpoint is well over
   // the mean.
-  const bool by_gossip =
-      fleet.mean * status.size < kConnectionsOverMean && fleet.held >= 0 && status.elsewhere >= 0;
-  const double mean = (by_gossip ? fleet.held : fleet.mean) * status.size;
-  const double connections = status.open + 1 + (by_gossip ? status.elsewhere : 0);
+  const bool by_gossip = fleet.mean_connections * status.size < kConnectionsOverMean &&
+                         fleet.mean_connections_all_nodes >= 0 && status.connections_elsewhere >= 0;
+  const double mean = (by_gossip ? fleet.mean_connections_all_nodes : fleet.mean_connections) * status.size;
+  const double connections = status.open_connections + 1 + (by_gossip ? status.connections_elsewhere : 0);
   const double well_over = mean * (holds_group && !by_gossip ? kWellOverMeanForGroup : kWellOverMean);
   const bool is_over = connections >= mean + kConnectionsOverMean && connections > well_over;
-  const bool is_full = fleet.granted > 0 && connections * 2 > fleet.granted * status.size;
+  const bool is_full = fleet.quota_per_size > 0 && connections * 2 > fleet.quota_per_size * status.size;
   if (holds_group && !is_over && !is_full) {
     return near ? SelectionTier::affinity : SelectionTier::far_affinity;
   }
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -4,10 +4,11 @@
 #include <climits>
 #include <optional>
 
+#include "policy/constants.h"
+
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kTimerInterval = 100 * kMs;  // the timer fires no oftener
 constexpr Duration kFrontStopsAfter =
     500 * kMs;  // new clients still come to a node that shuts down for this long
 constexpr Duration kShutdownMigration = kSecond;  // within which all connections migrate then
@@ -60,14 +61,14 @@
 void EndpointSet::handle(const StatusChanged& message) {
   EndpointStatus& known = statuses_[message.endpoint];
   const EndpointStatus& status = message.status;
-  if (known.healthy != status.healthy ||
+  if (known.in_service != status.in_service ||
       is_degraded(known, context_.now) != is_degraded(status, context_.now)) {
     freeze_to_check_ = true;
   }
-  wake_at_.erase({known.due, message.endpoint});
+  wake_at_.erase({known.wake_at, message.endpoint});
   known = status;
-  if (status.due < kNever) {
-    wake_at_.insert({status.due, message.endpoint});
+  if (status.wake_at < kNever) {
+    wake_at_.insert({status.wake_at, message.endpoint});
   }
 }
 
@@ -79,7 +80,7 @@
   }
   SelectEndpoints completed{message.query, statistics()};
   if (group) {
-    completed.fleet.sought_alike = statistics_.selections_of(*group);
+    completed.fleet.group_selections = statistics_.selections_of(*group);
   }
   context_.post_to_selector(std::move(completed));
 }
@@ -169,13 +170,13 @@
 FleetStatistics EndpointSet::statistics() {
   auto [fleet, endpoints, degraded] = statistics_.collect(statuses_, context_.now);
   const bool list_is_silent = context_.now >= list_watch_.silent_from();
-  fleet.frozen = degraded * 2 > endpoints || list_is_silent;
-  if (fleet.frozen != weights_frozen_) {
-    weights_frozen_ = fleet.frozen;
-    context_.log(std::string("weights ") + (fleet.frozen ? "frozen" : "free") + ", degraded " +
-                 std::to_string(degraded) + " of " + std::to_string(endpoints) +
-                 (list_is_silent ? ", list silent" : ""));
-    context_.post_to_selector(WeightsFreezeChanged{fleet.frozen});
+  fleet.weights_frozen = degraded * 2 > endpoints || list_is_silent;
+  if (fleet.weights_frozen != weights_frozen_) {
+    weights_frozen_ = fleet.weights_frozen;
+    context_.log(std::string(fleet.weights_frozen ? "weights_frozen" : "weights_unfrozen") +
+                 " degraded=" + std::to_string(degraded) + " endpoints=" + std::to_string(endpoints) +
+                 " list_silent=" + (list_is_silent ? "true" : "false"));
+    context_.post_to_selector(WeightsFreezeChanged{fleet.weights_frozen});
   }
   return fleet;
 }
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -11,7 +11,6 @@
 #include "policy/endpoint_list_watch.h"
 #include "policy/fleet_statistics.h"
 #include "policy/messages.h"
-#include "policy/notes.h"
 
 namespace dapplewharf {
 
--- a/src/policy/fleet_statistics.cpp
+++ b/src/policy/fleet_statistics.cpp
@@ -3,27 +3,26 @@
 #include <algorithm>
 #include <cmath>
 
-#include "policy/notes.h"
+#include "base/keep_last.h"
+#include "policy/constants.h"
 
 namespace dapplewharf {
 namespace {
 
 constexpr double kDegradedScore = 75;            // below
 constexpr double kLeastWeight = 0.5;             // above: endpoints that count for the means
-constexpr Duration kSurgeHeld = 5 * kSecond;     // the surge limit outlasts the last overloaded endpoint
 constexpr double kSurgeRate = 0.25;              // new connections a second, of the mean that endpoints hold
 constexpr double kMigrationShare = 0.15;         // of the open connections, within a second
 constexpr double kLeastRoom = 0.5;               // of the migration share that is left when most are slow
 constexpr double kSustainedFade = 30 * kSecond;  // time constant
 constexpr double kLeastReportedLoad = 0.1;       // lower loads say little of what an endpoint sustains
 constexpr double kHealthCheckShare = 0.005;      // of all that service can be worth
-constexpr Duration kSelectionWindow = 10 * kSecond;
 constexpr std::size_t kArrivalsKept = 40;
 
 }  // namespace
 
 bool is_degraded(const EndpointStatus& status, TimePoint now) {
-  return status.score < kDegradedScore && now >= status.cold;
+  return status.score < kDegradedScore && now >= status.cold_until;
 }
 
 void FleetStatisticsCollector::count_arrival(TimePoint now) {
@@ -41,33 +40,33 @@
 
 void FleetStatisticsCollector::add_in_service(Totals& totals, const EndpointStatus& status,
                                               TimePoint now) const {
-  const bool is_warm = status.cold <= now;
+  const bool is_warm = status.cold_until <= now;
   ++totals.endpoints;
   totals.scores += status.score;
   totals.any_cold = totals.any_cold || !is_warm;
   totals.degraded += is_degraded(status, now) ? 1 : 0;
-  totals.any_overloaded =
-      totals.any_overloaded || status.shedding > now || (status.open > 0 && status.late > now);
-  totals.all.add(status.open, status.size);
+  totals.any_overloaded = totals.any_overloaded || status.dropping_until > now ||
+                          (status.open_connections > 0 && status.over_objective_until > now);
+  totals.all.add(status.open_connections, status.size);
   if (status.weight <= kLeastWeight) {
     return;
   }
   if (status.zone == settings_.zone) {
-    totals.own_zone.add(status.open, status.size);
-    if (status.elsewhere >= 0) {
-      totals.own_zone_all_nodes.add(status.open + status.elsewhere, status.size);
+    totals.own_zone.add(status.open_connections, status.size);
+    if (status.connections_elsewhere >= 0) {
+      totals.own_zone_all_nodes.add(status.open_connections + status.connections_elsewhere, status.size);
     }
   }
-  if (status.strained <= now) {
+  if (status.slow_until <= now) {
     totals.not_slow_size += status.size;
   }
   if (!is_warm) {
     return;
   }
-  totals.warm_by_type[status.kind].add(status.open, status.size);
-  totals.warm.add(status.open, status.size);
-  if (status.load >= 0) {
-    totals.reported_load.add(status.load * status.size, status.size);
+  totals.warm_by_type[status.machine_type].add(status.open_connections, status.size);
+  totals.warm.add(status.open_connections, status.size);
+  if (status.reported_load >= 0) {
+    totals.reported_load.add(status.reported_load * status.size, status.size);
   }
 }
 
@@ -75,10 +74,10 @@
     const std::map<std::string, EndpointStatus>& statuses, TimePoint now) const {
   Totals totals;
   for (const auto& [id, status] : statuses) {
-    if (status.healthy) {
+    if (status.in_service) {
       add_in_service(totals, status, now);
     } else {
-      totals.leaving_connections += status.open;
+      totals.leaving_connections += status.open_connections;
     }
   }
   return totals;
@@ -118,39 +117,40 @@
     const std::map<std::string, EndpointStatus>& statuses, TimePoint now) {
   const Totals totals = sum_up(statuses, now);
   FleetStatistics fleet;
-  fleet.some_cold = totals.any_cold;
+  fleet.any_cold = totals.any_cold;
   if (totals.any_overloaded) {
     overloaded_at_ = now;
   }
-  fleet.crowd_limit = overloaded_at_ > 0 && now - overloaded_at_ < kSurgeHeld ? kSurgeRate : 0;
+  fleet.surge_rate = overloaded_at_ > 0 && now - overloaded_at_ < kFleetConditionHeld ? kSurgeRate : 0;
   if (totals.all.size > 0) {
     // With no endpoint of the own zone at weight a mean of nothing would close the others to a surge that
     // they have room for.
-    fleet.mean = totals.own_zone.size > 0 ? totals.own_zone.mean() : totals.all.mean();
-    fleet.granted = settings_.granted_connections() / totals.all.size;
+    fleet.mean_connections = totals.own_zone.size > 0 ? totals.own_zone.mean() : totals.all.mean();
+    fleet.quota_per_size = settings_.granted_connections() / totals.all.size;
   }
   if (totals.own_zone_all_nodes.size > 0) {
-    fleet.held = totals.own_zone_all_nodes.mean();
+    fleet.mean_connections_all_nodes = totals.own_zone_all_nodes.mean();
   }
   const double room = totals.all.size > 0 ? std::max(totals.not_slow_size / totals.all.size, kLeastRoom) : 0;
   // A node all of whose connections stand at leaving endpoints has to migrate them as well.
   const double connections = std::max(totals.all.connections, totals.leaving_connections);
-  fleet.spare = static_cast<int>(std::ceil(kMigrationShare * connections * room));
+  fleet.migration_budget = static_cast<int>(std::ceil(kMigrationShare * connections * room));
   if (totals.endpoints > 0) {
-    fleet.score = totals.scores / totals.endpoints;
-    fleet.each =
+    fleet.mean_score = totals.scores / totals.endpoints;
+    fleet.connections_per_endpoint =
         std::max(totals.all.connections / totals.endpoints, kConnectionsOverMean / settings_.node_count);
   }
   if (totals.reported_load.size > 0) {
-    fleet.load = totals.reported_load.mean();
+    fleet.mean_reported_load = totals.reported_load.mean();
   }
-  remember_sustained(totals, fleet.load, now);
-  fleet.bears = shared_sustained_;
-  fleet.watch = health_check_interval(totals.endpoints, now);
-  fleet.alone = fleet.held < 0 && fleet.each < kConnectionsOverMean;
+  remember_sustained(totals, fleet.mean_reported_load, now);
+  fleet.sustained_connections = shared_sustained_;
+  fleet.health_check_interval = health_check_interval(totals.endpoints, now);
+  fleet.is_isolated =
+      fleet.mean_connections_all_nodes < 0 && fleet.connections_per_endpoint < kConnectionsOverMean;
   std::erase_if(selections_, [now](const auto& one) { return now - one.first > kSelectionWindow; });
   if (totals.all.size > 0) {
-    fleet.sought = static_cast<double>(selections_.size()) / totals.all.size;
+    fleet.selections_per_size = static_cast<double>(selections_.size()) / totals.all.size;
   }
   return {fleet, totals.endpoints, totals.degraded};
 }
--- a/src/policy/fleet_statistics.h
+++ b/src/policy/fleet_statistics.h
@@ -16,27 +16,29 @@
 
 namespace dapplewharf {
 
-/// A node counts as holding few connections, and an endpoint as well over the mean, by so many connections.
-inline constexpr int kConnectionsOverMean = 2;
-
+/// Means, limits and budgets over all endpoints in service, as this node sees them.
 struct FleetStatistics {
-  bool frozen = false;
-  double score = 100;      // mean of the endpoints' scores, where a new endpoint starts
-  double crowd_limit = 0;  // new connections a second that an endpoint takes, of the mean; 0: no limit
-  double mean = 0;         // open connections for a size of 1, in this node's own zone
-  double each = 1e9;       // open connections for one endpoint, at least two of all nodes
-  bool alone = false;      // endpoints hold next to nothing of this node, and of other nodes nothing is known
-  double held = -1;        // open connections of all nodes for a size of 1, by gossip; below 0: unknown
-  double load = -1;        // of warm endpoints over their capacity, as reported; below 0: unknown
-  Duration watch = 0;      // least time between steady health checks of an endpoint, for their price
-  int spare = 0;           // connections that may migrate within a second
-  double sought = 0;       // selections lately, for a size of 1
-  double sought_alike = 0;  // for a selection: how many of them were for its affinity group
+  bool weights_frozen = false;
+  double mean_score = 100;  // mean of the endpoints' scores, where a new endpoint starts
+  double surge_rate =
+      0;  // new connections a second that an endpoint takes, of the mean_connections; 0: no limit
+  double mean_connections = 0;            // open connections for a size of 1, in this node's own zone
+  double connections_per_endpoint = 1e9;  // open connections for one endpoint, at least two of all nodes
+  bool is_isolated =
+      false;  // endpoints hold next to nothing of this node, and of other nodes nothing is known
+  double mean_connections_all_nodes =
+      -1;  // open connections of all nodes for a size of 1, by gossip; below 0: unknown
+  double mean_reported_load = -1;  // of warm endpoints over their capacity, as reported; below 0: unknown
+  Duration health_check_interval =
+      0;                           // least time between steady health checks of an endpoint, for their price
+  int migration_budget = 0;        // connections that may migrate within a second
+  double selections_per_size = 0;  // selections lately, for a size of 1
+  double group_selections = 0;     // for a selection: how many of them were for its affinity group
   /// Open connections of this node that a warm endpoint of size 1 sustains, by machine type; "" over all
   /// types.
-  std::shared_ptr<const std::map<std::string, double>> bears;
-  bool some_cold = false;
-  double granted = 0;  // open connections for a size of 1 that the tenants' quotas allow, of all nodes
+  std::shared_ptr<const std::map<std::string, double>> sustained_connections;
+  bool any_cold = false;
+  double quota_per_size = 0;  // open connections for a size of 1 that the tenants' quotas allow, of all nodes
 };
 
 /// An endpoint that weights count as degraded: low score, and not for being cold.
--- a/src/policy/health_signal.cpp
+++ b/src/policy/health_signal.cpp
@@ -14,7 +14,7 @@
   if (results_.size() > kSuccessesToRecover) {
     results_.pop_front();
   }
-  if (healthy_ == succeeded || equal_results_ < (succeeded ? kSuccessesToRecover : kBadRun)) {
+  if (healthy_ == succeeded || equal_results_ < (succeeded ? kSuccessesToRecover : kFailuresToDegrade)) {
     return false;
   }
   healthy_ = succeeded;
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,6 +1,6 @@
 // The message loop of the load-balancing policy (policy/load_balancer.h): EndpointSet, EndpointSelector,
 // RequestTable and one Endpoint for each endpoint read messages from their own mailbox and speak to each
-// other only by posting messages; Parts::settle empties the mailboxes, always in the same order.
+// other only by posting messages; Parts::process_messages empties the inboxes, always in the same order.
 #include "policy/load_balancer.h"
 
 #include <algorithm>
@@ -11,7 +11,6 @@
 #include "policy/endpoint.h"
 #include "policy/endpoint_selector.h"
 #include "policy/endpoint_set.h"
-#include "policy/flat_words.h"
 #include "policy/messages.h"
 #include "policy/request_table.h"
 
@@ -116,16 +115,11 @@
 
 LoadBalancer::LoadBalancer(Settings settings, std::uint64_t seed, TimePoint now)
     : parts_(std::make_unique<Parts>(std::move(settings), seed, now)) {}
-LoadBalancer::LoadBalancer(const SettingsMap& settings, std::uint64_t seed, TimePoint now)
-    : LoadBalancer(settings_from_map(settings), seed, now) {}
 LoadBalancer::~LoadBalancer() = default;
 
 void LoadBalancer::update_settings(Settings settings) {
   parts_->context.settings = std::move(settings);
 }
-void LoadBalancer::update_settings(const SettingsMap& settings) {
-  update_settings(settings_from_map(settings));
-}
 
 std::vector<PolicyAction> LoadBalancer::handle_events(TimePoint now, const std::vector<PolicyEvent>& events) {
   parts_->context.now = std::max(now, parts_->context.now);
@@ -135,16 +129,4 @@
   return std::exchange(parts_->context.actions, {});
 }
 
-std::vector<Action> LoadBalancer::handle_events(TimePoint now, const std::vector<Event>& events) {
-  std::vector<PolicyEvent> typed;
-  for (const Event& event : events) {
-    typed.push_back(from_flat(event));
-  }
-  std::vector<Action> actions;
-  for (const PolicyAction& action : handle_events(now, typed)) {
-    actions.push_back(to_flat(action));
-  }
-  return actions;
-}
-
 }  // namespace dapplewharf
--- a/src/policy/load_balancer.h
+++ b/src/policy/load_balancer.h
@@ -9,7 +9,6 @@
 #include "policy/actions.h"
 #include "policy/events.h"
 #include "policy/settings.h"
-#include "policy/words.h"
 
 namespace dapplewharf {
 
@@ -19,18 +18,15 @@
   /// @param seed of all chance drawn here.
   /// @param now monotonic time in ticks of 0.1 ms.
   LoadBalancer(Settings settings, std::uint64_t seed, TimePoint now);
-  LoadBalancer(const SettingsMap& settings, std::uint64_t seed, TimePoint now);
   ~LoadBalancer();
 
   /// Replaces the settings from the next event on.
   void update_settings(Settings settings);
-  void update_settings(const SettingsMap& settings);
 
   /// Decides on a batch of events, in their order.
   /// @param now monotonic time; a time before the last one counts as the last one.
   /// @return the actions to carry out, in order.
   std::vector<PolicyAction> handle_events(TimePoint now, const std::vector<PolicyEvent>& events);
-  std::vector<Action> handle_events(TimePoint now, const std::vector<Event>& events);
 
  private:
   struct Parts;
--- a/src/policy/message_latency.cpp
+++ b/src/policy/message_latency.cpp
@@ -34,11 +34,11 @@
 }
 
 bool MessageLatency::slow(TimePoint now) const {
-  return slow_report_at_ && now - *slow_report_at_ < kStrainHeld;
+  return slow_report_at_ && now - *slow_report_at_ < kConditionHeld;
 }
 
 TimePoint MessageLatency::slow_until() const {
-  return slow_report_at_ ? *slow_report_at_ + kStrainHeld : 0;
+  return slow_report_at_ ? *slow_report_at_ + kConditionHeld : 0;
 }
 
 TimePoint MessageLatency::over_objective_until() const {
--- a/src/policy/messages.h
+++ b/src/policy/messages.h
@@ -48,8 +48,8 @@
   TimePoint deadline = 0;
   bool is_mid_connection = false;
   std::shared_ptr<const std::vector<std::string>> endpoints;  // in the order in which they are asked
-  std::size_t asked = 0;                                      // so many of them were
-  int passed_over = 0;                                        // so many were checked and passed
+  std::size_t asked = 0;  // so many of them were, and the index of the next one
+  int passed_over = 0;    // so many were checked and passed
   FleetStatistics fleet;
 };
 
@@ -107,7 +107,7 @@
   int group_connections = 0;                 // connections of its group that stand here
   std::string deduplicating_endpoint;        // repeats are dropped around this endpoint only; empty: anywhere
   DeduplicationScope scope = DeduplicationScope::cell;
-  bool shortage = false;  // some request found no endpoint a moment ago
+  bool shortage = false;  // some request found no endpoint a moment ago, during a surge
 };
 
 /// Which endpoints may take this request? Answered with CandidateList.
@@ -172,15 +172,27 @@
   Mailbox<SelectorMessage> selector{};
   Mailbox<RequestTableMessage> request_table{};
 
-  void act(PolicyAction action) { actions.push_back(std::move(action)); }
+  // Messages and actions are built in place.
+  template <class One>
+  void act(One&& action) {
+    actions.emplace_back(std::forward<One>(action));
+  }
   void log(std::string text) { actions.push_back(LogMessage{std::move(text)}); }
-  void post_to_endpoint(const std::string& endpoint, EndpointMessage message) {
-    posted_to_endpoints.emplace_back(endpoint, std::move(message));
+  template <class Message>
+  void post_to_endpoint(const std::string& endpoint, Message&& message) {
+    posted_to_endpoints.emplace_back(endpoint, std::forward<Message>(message));
+  }
+  template <class Message>
+  void post_to_endpoint_set(Message&& message) {
+    endpoint_set.posted.emplace_back(std::forward<Message>(message));
+  }
+  template <class Message>
+  void post_to_selector(Message&& message) {
+    selector.posted.emplace_back(std::forward<Message>(message));
   }
-  void post_to_endpoint_set(EndpointSetMessage message) { endpoint_set.posted.push_back(std::move(message)); }
-  void post_to_selector(SelectorMessage message) { selector.posted.push_back(std::move(message)); }
-  void post_to_request_table(RequestTableMessage message) {
-    request_table.posted.push_back(std::move(message));
+  template <class Message>
+  void post_to_request_table(Message&& message) {
+    request_table.posted.emplace_back(std::forward<Message>(message));
   }
 };
 
--- a/src/policy/reconnect_policy.h
+++ b/src/policy/reconnect_policy.h
@@ -1,8 +1,7 @@
-// When a connection that was open at a host before this node started is dialled there again. Such a
-// connection belongs to that host alone, so there is no choice of host; what is decided here is the time each
-// attempt gets and the pause before the next one. Whether a further attempt is allowed at all (effects, ends,
-// deadlines) is RequestLedger's to say. Pure: the caller gives the time; spans are in tenths of a
-// millisecond.
+// When a connection that stood at an endpoint before this node started is connected there again. Such a
+// connection belongs to that endpoint alone, so no endpoint is chosen; what is decided here is the time of
+// each attempt and the pause before the next one. Whether another attempt is allowed at all is
+// RequestLedger's to say. Pure: the caller gives the time and the chance; times are in ticks of 0.1 ms.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -13,36 +12,36 @@
 
 class ReconnectPolicy {
  public:
-  // Protocol page: a connection from before the run that is not up after this is lost.
-  static constexpr Tenths kAllowed = 40 * kSecond;
-  // The first attempt's time, to connect and be answered; doubled with each further one. Long enough for two
-  // lost SYNs (1 s, 3 s) and for the latest connections of the standing test (1.5 s).
-  static constexpr Tenths kFirstAttempt = 4 * kSecond;
-  static constexpr Tenths kLongestAttempt = 16 * kSecond;
-  static constexpr Tenths kFirstPause = 20 * kMs;
-  static constexpr Tenths kLongestPause = kSecond;
-  // A host that no list names may be a bad client's invention, which is owed an error within 3 s; a list that
-  // is on its way comes sooner.
-  static constexpr Tenths kUnlisted = 2 * kSecond;
-
-  ReconnectPolicy(Tenths begun, Tenths client_waits)
+  // An adopted connection that is not established after this time counts as lost (protocol).
+  static constexpr Duration kAllowed = 40 * kSecond;
+  // The first attempt's time, to connect and be answered; doubled with each further one. Allows for two lost
+  // SYNs.
+  static constexpr Duration kFirstAttempt = 4 * kSecond;
+  static constexpr Duration kLongestAttempt = 16 * kSecond;
+  static constexpr Duration kFirstPause = 20 * kMs;
+  static constexpr Duration kLongestPause = kSecond;
+  // For an endpoint that no list names: a client that named a wrong one is to have its error soon.
+  static constexpr Duration kUnlisted = 2 * kSecond;
+
+  ReconnectPolicy(Duration begun, Duration client_waits)
       : until_(begun + std::min(client_waits, kAllowed)), begun_(begun) {}
 
-  Tenths until() const { return until_; }
+  [[nodiscard]] Duration until() const { return until_; }
 
-  // The time of the attempt that begins now.
-  Tenths attempt_time(Tenths now) const {
-    const Tenths grown = std::min(kFirstAttempt << std::min(ended_, 4), kLongestAttempt);
-    return std::clamp<Tenths>(until_ - now, 1, grown);
+  /// The timeout of an attempt that begins now.
+  [[nodiscard]] Duration attempt_time(Duration now) const {
+    const Duration grown = std::min(kFirstAttempt << std::min(ended_, 4), kLongestAttempt);
+    return std::clamp<Duration>(until_ - now, 1, grown);
   }
 
-  // The pause after an attempt that has ended; nothing when none can follow. `listed`: a list names the host.
-  // `chance`: from 0 to 1, so that nodes which failed together do not come back together.
-  std::optional<Tenths> pause(Tenths now, bool listed, double chance) {
-    const Tenths grown = std::min(kFirstPause << std::min(ended_, 10), kLongestPause);
+  /// The pause after an attempt that has ended; nothing when none can follow.
+  /// @param listed a list names the endpoint.
+  /// @param chance from 0 to 1, so that nodes that failed together do not come back together.
+  [[nodiscard]] std::optional<Duration> pause(Duration now, bool listed, double chance) {
+    const Duration grown = std::min(kFirstPause << std::min(ended_, 10), kLongestPause);
     ++ended_;
-    const Tenths span = grown / 2 + static_cast<Tenths>(static_cast<double>(grown / 2) * chance);
-    const Tenths last = listed ? until_ : std::min(until_, begun_ + kUnlisted);
+    const Duration span = grown / 2 + static_cast<Duration>(static_cast<double>(grown / 2) * chance);
+    const Duration last = listed ? until_ : std::min(until_, begun_ + kUnlisted);
     if (now + span >= last) {
       return std::nullopt;
     }
@@ -50,7 +49,7 @@
   }
 
  private:
-  Tenths until_, begun_;
+  Duration until_, begun_;
   int ended_ = 0;  // attempts
 };
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,7 +1,8 @@
 // Whether a request may be repeated or rejected, by what its traffic class says of its idempotency and by
-// what became of its attempts. The one place for these rules: RequestTable (before an endpoint is selected)
-// and RequestLedger (before the attempt and its first byte) both ask here. Pure functions of plain values.
-// Design: docs/design.md.
+// what became of its attempts. Not the whole decision on a retry: RequestTable::select_endpoints makes it,
+// with the attempt limit and the retry budget. The one place for these rules: RequestTable (before an
+// endpoint is selected) and RequestLedger (before the attempt and its first byte) both ask here. Pure
+// functions of plain values. Design: docs/design.md.
 #pragma once
 #include <cstdint>
 #include <optional>
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -55,11 +55,12 @@
   // Slow start: what a cold endpoint bears.
   double cold_capacity_share = 0;  // of its capacity, right after its start
   Duration warm_up_time = 0;
-  Duration overload_window = 0;  // an endpoint falls over when it gets
-  double overload_multiple = 0;  // more than so many times what it bears within that window
+  Duration overload_window = 0;  // a cold endpoint is overloaded by what it gets within this time,
+  double overload_multiple = 0;  // if that is more than so many times what it sustains
 
   // The endpoint list.
-  Duration drain_grace = 0;       // after this node was told of a drain nothing new may go there
+  Duration drain_grace =
+      0;  // from the notice of a drain until nothing may go there; before that mid-connection requests only
   Duration notified_within = 0;   // a node counts as told so long after a change; 0: no such limit
   bool polls_endpoints = false;   // the list is asked for; otherwise changes come unasked
   bool only_drains_bind = false;  // a removed endpoint may be used while its health checks succeed
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -82,12 +82,13 @@
   if (sent.sum_within(now, window * settings_.node_count, 1) >= 1) {
     return false;
   }
-  const double concentration = conditions.knows_other_nodes_use ? kConcentrationWhenTold : kHomeOver;
+  const double concentration =
+      conditions.knows_other_nodes_use ? kConcentrationWhenTold : kWellOverMeanForGroup;
   // The ring leads all nodes to one endpoint for an affinity group: without its own count, one connection
   // from each node of a burst would overload the endpoint.
   const double expected = std::max(conditions.selections_per_size * conditions.size * concentration,
                                    conditions.group_selections) *
-                          window / kSoughtSpan;
+                          window / kSelectionWindow;
   return random.share() * expected < budget;
 }
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -16,7 +16,7 @@
   double size = 1;                     // the endpoint's relative capacity
   double sustained_by_warm = 0;        // connections of this node at a warm endpoint of its kind, for size 1
   double quota_per_size = 0;           // connections of all nodes that tenants' quotas grant, for size 1
-  double selections_per_size = 0;      // selections by this node within kSoughtSpan, for size 1
+  double selections_per_size = 0;      // selections by this node within kSelectionWindow, for size 1
   double group_selections = 0;         // those for the connection's affinity group
   bool is_surge = false;               // some endpoint has trouble: new connections are limited
   bool reports_headroom = false;       // the endpoint itself reported little load just now
@@ -48,7 +48,8 @@
   [[nodiscard]] bool admits_connection(TimePoint now, const SlowStartConditions& conditions,
                                        const SentWorkWindow& sent, RandomGenerator& random) const;
 
-  /// The connections that this node may have opened by this age, with fractions.
+  /// New connections that this node may have opened in total by this age, with fractions; what it may open
+  /// within a window is the difference of two such values.
   /// @param age ticks of 0.1 ms since the endpoint's start.
   [[nodiscard]] double allowance_since_start(double age, const SlowStartConditions& conditions) const;
 
--- a/src/policy/flat_words.h
+++ b/tests/support/flat_conversions.h
@@ -1,10 +1,10 @@
-// Conversions between the earlier flat words (policy/words.h) and the typed events, actions and settings.
-// Temporary: gone once no caller uses the flat ones.
+// Conversions between the flat events, actions and settings that scripted tests are written in
+// (support/flat_events.h) and the typed ones of the policy.
 #pragma once
 #include "policy/actions.h"
 #include "policy/events.h"
 #include "policy/settings.h"
-#include "policy/words.h"
+#include "support/flat_events.h"
 
 namespace dapplewharf {
 
--- a/src/policy/words.h
+++ b/tests/support/flat_events.h
@@ -1,5 +1,5 @@
-// The earlier flat events, actions and settings. Being replaced with policy/events.h, actions.h and
-// settings.h.
+// Flat events, actions and settings in which scripted tests are written: one struct for all kinds, settings
+// by name. Converted to the typed ones of the policy by support/flat_conversions.h.
 #pragma once
 #include <cstdint>
 #include <map>
--- a/tools/count.awk
+++ b/tools/count.awk
@@ -15,10 +15,10 @@
 text ~ /^connection_ended .*outcome=connection_lost / { ++dropped[second] }
 text ~ /^connection_ended .*outcome=cancelled / { ++moved[second] }
 text ~ /^request_rejected / { ++rejected[second] }
-text ~ /starts cold/ { ++cold[second] }
-text ~ /(probes|set-ups) bad/ { ++bad[second] }
+text ~ /^slow_start_started / { ++cold[second] }
+text ~ /^health_degraded / { ++bad[second] }
 text ~ /^endpoint_list_call_lost / { ++lists[second] }
-text ~ /^weights frozen/ { ++frozen[second] }
+text ~ /^weights_frozen / { ++frozen[second] }
 END {
   print "second up failed dropped moved rejected cold bad lists frozen"
   for (i = 0; i <= last; ++i)
