--- a/src/emulator/sim/simulation.cpp
+++ b/src/emulator/sim/simulation.cpp
@@ -1,6 +1,7 @@
 #include "emulator/sim/simulation.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "emulator/sim/client_simulator.h"
 #include "emulator/sim/connection_simulator.h"
@@ -20,6 +21,19 @@
 /// After the last deadline, for answers that are on their way.
 constexpr double kAnswerGraceMs = 100;
 
+/// Passes an event to a part of the simulation, if that part has a handler for it.
+template <class Part>
+struct HandledBy {
+  Part& part;
+
+  template <class Event>
+  auto operator()(const Event& event) const -> decltype(std::declval<Part&>().handle(event)) {
+    return part.handle(event);
+  }
+};
+template <class Part>
+HandledBy(Part&) -> HandledBy<Part>;
+
 /// One visitor made of the handlers of all parts.
 template <class... Handlers>
 struct Visitor : Handlers... {
@@ -115,11 +129,9 @@
 }
 
 void Simulation::dispatch(const SimEvent& event) {
-  const auto to = [](auto& part) {
-    return [&part](const auto& one) -> decltype(part.handle(one)) { part.handle(one); };
-  };
-  std::visit(Visitor{to(clients_), to(connections_), to(endpoints_), to(nodes_), to(health_checks_),
-                     to(list_service_), to(faults_), to(measurements_)},
+  std::visit(Visitor{HandledBy{clients_}, HandledBy{connections_}, HandledBy{endpoints_}, HandledBy{nodes_},
+                     HandledBy{health_checks_}, HandledBy{list_service_}, HandledBy{faults_},
+                     HandledBy{measurements_}},
              event);
 }
 
