--- a/src/emulator/sim/simulation.cpp
+++ b/src/emulator/sim/simulation.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "base/overloaded.h"
 #include "emulator/sim/client_simulator.h"
 #include "emulator/sim/connection_simulator.h"
 #include "emulator/sim/endpoint_list_service.h"
@@ -34,14 +35,6 @@
 template <class Part>
 HandledBy(Part&) -> HandledBy<Part>;
 
-/// One visitor made of the handlers of all parts.
-template <class... Handlers>
-struct Visitor : Handlers... {
-  using Handlers::operator()...;
-};
-template <class... Handlers>
-Visitor(Handlers...) -> Visitor<Handlers...>;
-
 class Simulation {
  public:
   Simulation(const Scenario& scenario, std::uint64_t seed, const std::string& policy)
@@ -129,9 +122,9 @@
 }
 
 void Simulation::dispatch(const SimEvent& event) {
-  std::visit(Visitor{HandledBy{clients_}, HandledBy{connections_}, HandledBy{endpoints_}, HandledBy{nodes_},
-                     HandledBy{health_checks_}, HandledBy{list_service_}, HandledBy{faults_},
-                     HandledBy{measurements_}},
+  std::visit(Overloaded{HandledBy{clients_}, HandledBy{connections_}, HandledBy{endpoints_},
+                        HandledBy{nodes_}, HandledBy{health_checks_}, HandledBy{list_service_},
+                        HandledBy{faults_}, HandledBy{measurements_}},
              event);
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -8,6 +8,7 @@
 #include <cmath>
 #include <variant>
 
+#include "config/platform_settings.h"
 #include "policy/backoff.h"
 
 namespace dapplewharf {
@@ -46,8 +47,8 @@
                       }),
       gossip_(loop, counters_, configuration_.peers, configuration_.seed) {
   if (configuration_.shadow) {
-    shadow_ =
-        std::make_unique<Shadow>(policy_settings_of(*configuration_.shadow), configuration_.seed, loop.now());
+    shadow_ = std::make_unique<Shadow>(parse_platform_settings(*configuration_.shadow), configuration_.seed,
+                                       loop.now());
   }
   apply_settings();
 }
@@ -324,7 +325,7 @@
     shadow_.reset();
   }
   if (shadow_) {
-    shadow_->update_settings(policy_settings_of(*configuration_.shadow));
+    shadow_->update_settings(parse_platform_settings(*configuration_.shadow));
   }
   set_log(configuration_.log);
   apply_settings();
--- a/src/node/node_settings.cpp
+++ b/src/node/node_settings.cpp
@@ -12,13 +12,9 @@
   return traffic ? traffic->repeat_rule : RepeatRule{};
 }
 
-Settings policy_settings_of(const nlohmann::json& source) {
-  return parse_platform_settings(source);
-}
-
 NodeSettings node_settings_of(const nlohmann::json& source) {
   NodeSettings to;
-  to.policy = policy_settings_of(source);
+  to.policy = parse_platform_settings(source);
   const nlohmann::json::json_pointer groups("/extra/groups");
   to.affinity_groups = source.contains(groups) && source.at(groups) == true;
   for (const TrafficClass& traffic : to.policy.traffic) {
--- a/src/node/node_settings.h
+++ b/src/node/node_settings.h
@@ -18,10 +18,7 @@
   [[nodiscard]] RepeatRule repeat_rule(const std::string& traffic_type) const;
 };
 
-/// The load balancer's settings from the platform's JSON. Throws SettingsError or nlohmann::json::exception.
-[[nodiscard]] Settings policy_settings_of(const nlohmann::json& source);
-
-/// All that the node takes from the platform's JSON. Throws as `policy_settings_of` does.
+/// All that the node takes from the platform's JSON. Throws SettingsError or nlohmann::json::exception.
 [[nodiscard]] NodeSettings node_settings_of(const nlohmann::json& source);
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -141,8 +141,7 @@
   if (first == statuses_.end()) {
     return false;
   }
-  return query.scope == DeduplicationScope::zone ? status.zone == first->second.zone
-                                                 : status.cell == first->second.cell;
+  return is_in_scope(query.scope, first->second.zone, first->second.cell, status.zone, status.cell);
 }
 
 // A group that gathers on the same endpoints from all zones is paid for once. Zones count for it only while
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -7,21 +7,6 @@
 
 namespace {
 
-bool is_in_scope(DeduplicationScope scope, const EndpointLocation& earlier, const EndpointLocation& target) {
-  if (earlier.host == target.host) {
-    return true;
-  }
-  switch (scope) {
-    case DeduplicationScope::all:
-      return true;
-    case DeduplicationScope::zone:
-      return earlier.zone == target.zone;
-    case DeduplicationScope::cell:
-      return earlier.cell == target.cell;
-  }
-  return false;
-}
-
 bool is_repeat_harmless(const RepeatRule& rule, const Attempt& earlier,
                         const std::optional<EndpointLocation>& target, TimePoint now) {
   if (!earlier.may_have_run || rule.idempotency == Idempotency::idempotent) {
@@ -33,11 +18,25 @@
   if (now - earlier.sent + kRepeatMargin >= rule.window) {
     return false;
   }
-  return !target || is_in_scope(rule.scope, earlier.location, *target);
+  return !target || earlier.location.host == target->host ||
+         is_in_scope(rule.scope, earlier.location.zone, earlier.location.cell, target->zone, target->cell);
 }
 
 }  // namespace
 
+bool is_in_scope(DeduplicationScope scope, const std::string& earlier_zone, std::int64_t earlier_cell,
+                 const std::string& zone, std::int64_t cell) {
+  switch (scope) {
+    case DeduplicationScope::all:
+      return true;
+    case DeduplicationScope::zone:
+      return earlier_zone == zone;
+    case DeduplicationScope::cell:
+      return earlier_cell == cell;
+  }
+  return false;
+}
+
 bool may_have_run(Outcome outcome) {
   switch (outcome) {
     case Outcome::rejected:
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -48,6 +48,10 @@
   bool may_have_run = true;
 };
 
+/// Whether an endpoint in this zone and cell knows the idempotency keys of another one.
+[[nodiscard]] bool is_in_scope(DeduplicationScope scope, const std::string& earlier_zone,
+                               std::int64_t earlier_cell, const std::string& zone, std::int64_t cell);
+
 /// Why a request may not be repeated.
 enum class RepeatObstacle {
   attempt_in_flight,
