--- a/src/config/consistency_checks.cpp
+++ b/src/config/consistency_checks.cpp
@@ -13,7 +13,6 @@
 constexpr double kDescriptorsPerClient = 2;       // the client's and its endpoint's
 constexpr double kBytesPerClient = 19 * 1024;     // of a client that reads nothing, with its endpoint
 constexpr double kBytesWithoutClients = 12e6;
-constexpr double kBytesPerMebibyte = 1048576;
 constexpr double kSharesTolerance = 1e-9;  // of a sum of decimal fractions
 constexpr double kMinDeadlineRatio = 1.5;  // of the latency objective: room for a retry
 constexpr double kMinDrainGraceMs = 200;
--- a/src/config/machine_checks.cpp
+++ b/src/config/machine_checks.cpp
@@ -8,8 +8,6 @@
 namespace dapplewharf::config {
 namespace {
 
-constexpr double kBytesPerMebibyte = 1048576;
-
 std::string port_of(const std::string& address) {
   return address.substr(address.rfind(':'));
 }
--- a/src/config/values.h
+++ b/src/config/values.h
@@ -37,6 +37,8 @@
 /// Recognizes the type of a bare word or figure and reads its amount.
 [[nodiscard]] Scalar scalar_of(std::string_view raw);
 
+inline constexpr double kBytesPerMebibyte = 1048576;
+
 /// A duration in the largest unit, s or ms, that keeps it exact.
 [[nodiscard]] std::string duration_text(double ms);
 /// A size in the largest unit from B to GiB that keeps it whole.
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,5 +1,5 @@
 // The message loop of the load-balancing policy (policy/load_balancer.h): EndpointSet, EndpointSelector,
-// RequestTable and one Endpoint for each endpoint read messages from their own mailbox and speak to each
+// RequestTable and one Endpoint for each endpoint read messages from their own inbox and speak to each
 // other only by posting messages; Parts::process_messages empties the inboxes, always in the same order.
 #include "policy/load_balancer.h"
 
--- a/src/policy/request_ledger.cpp
+++ b/src/policy/request_ledger.cpp
@@ -61,6 +61,16 @@
   }
 }
 
+std::optional<Violation> RequestLedger::check_awaits_answer(const Record& request) {
+  if (request.client_gone) {
+    return Violation::client_gone;
+  }
+  if (request.answered) {
+    return Violation::already_answered;
+  }
+  return std::nullopt;
+}
+
 std::optional<Violation> RequestLedger::check_attempt(const std::string& id, const EndpointLocation& target,
                                                       bool allowed_by_list, TimePoint now) const {
   const auto found = requests_.find(id);
@@ -68,11 +78,8 @@
     return Violation::unknown_request;
   }
   const Record& request = found->second;
-  if (request.client_gone) {
-    return Violation::client_gone;
-  }
-  if (request.answered) {
-    return Violation::already_answered;
+  if (const auto violation = check_awaits_answer(request)) {
+    return violation;
   }
   if (now >= request.deadline) {
     return Violation::past_deadline;
@@ -93,11 +100,8 @@
     return Violation::unknown_request;
   }
   const Record& request = found->second;
-  if (request.client_gone) {
-    return Violation::client_gone;
-  }
-  if (request.answered) {
-    return Violation::already_answered;
+  if (const auto violation = check_awaits_answer(request)) {
+    return violation;
   }
   if (!allowed_by_list) {
     return Violation::endpoint_leaving;
--- a/src/policy/request_ledger.h
+++ b/src/policy/request_ledger.h
@@ -79,6 +79,8 @@
     bool client_gone = false;
     std::vector<Attempt> attempts;
   };
+  /// What stands against an attempt of this request because its client awaits no answer any more.
+  [[nodiscard]] static std::optional<Violation> check_awaits_answer(const Record& request);
 
   std::unordered_map<std::string, Record> requests_;
 };
