--- a/src/base/event_loop.cpp
+++ b/src/base/event_loop.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 template <class Clock>
-Tenths tenths() {
+TimePoint tenths() {
   const auto since = Clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::microseconds>(since).count() / 100;
 }
 
 }  // namespace
 
-Tenths EventLoop::unix_now() {
+TimePoint EventLoop::unix_now() {
   return tenths<std::chrono::system_clock>();
 }
 
-Tenths EventLoop::steady_now() {
+TimePoint EventLoop::steady_now() {
   return tenths<std::chrono::steady_clock>();
 }
 
@@ -44,7 +44,7 @@
   }
 }
 
-void EventLoop::at(Deadline& deadline, Tenths when, Due due) {
+void EventLoop::at(Deadline& deadline, TimePoint when, Due due) {
   cancel(deadline);
   deadline = {when, ++numbers_};
   deadlines_.emplace(deadline, std::move(due));
@@ -66,7 +66,7 @@
   }
 }
 
-void EventLoop::turn(Tenths longest) {
+void EventLoop::turn(Duration longest) {
   std::vector<pollfd> polled;
   std::vector<Handle> tickets;
   watched_.each([&](Handle ticket, const Watched& watched) {
@@ -77,18 +77,18 @@
     tickets.push_back(ticket);
   });
   tick();
-  Tenths wait = longest;
+  Duration wait = longest;
   if (!deadlines_.empty()) {
     wait = std::min(wait, deadlines_.begin()->first.when - now_);
   }
-  const auto ms = static_cast<int>((std::max<Tenths>(wait, 0) + 9) / 10);  // never before its time
+  const auto ms = static_cast<int>((std::max<Duration>(wait, 0) + 9) / 10);  // never before its time
   const int found = poll(polled.data(), polled.size(), ms);
   if (found < 0 && errno != EINTR) {
     spdlog::error("poll: error {}", errno);
     std::this_thread::sleep_for(std::chrono::milliseconds(1));  // danger: it may go on failing for a while
   }
   tick();
-  late_ = deadlines_.empty() ? 0 : std::max<Tenths>(now_ - deadlines_.begin()->first.when, 0);
+  late_ = deadlines_.empty() ? 0 : std::max<Duration>(now_ - deadlines_.begin()->first.when, 0);
   for (std::size_t i = 0; found > 0 && i < polled.size(); ++i) {
     if (polled[i].revents == 0) {
       continue;
--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -17,30 +17,30 @@
   using Ready = std::function<void(short)>;  // is given what poll found
   using Due = std::function<void()>;
   struct Deadline {
-    Tenths when = 0;
+    TimePoint when = 0;
     std::uint64_t number = 0;  // 0: none
     auto operator<=>(const Deadline&) const = default;
   };
 
   EventLoop();
   // Steady, and counted from Unix time as it was when the loop was made.
-  Tenths now() const { return now_; }
-  static Tenths unix_now();
+  TimePoint now() const { return now_; }
+  static TimePoint unix_now();
   // For processes that share a beginning: the machine's steady clock, and a time on it as this loop counts.
-  static Tenths steady_now();
-  Tenths of_steady(Tenths steady) const { return start_ + steady; }
+  static TimePoint steady_now();
+  TimePoint of_steady(TimePoint steady) const { return start_ + steady; }
 
   Handle watch(int descriptor, short events, Ready ready);
   void want(Handle watched, short events);  // 0: nothing, not even its end
   void unwatch(Handle watched) { watched_.drop(watched); }
 
-  void at(Deadline& deadline, Tenths when, Due due);  // in place of what stood there
+  void at(Deadline& deadline, TimePoint when, Due due);  // in place of what stood there
   void cancel(Deadline& deadline);
 
-  void turn(Tenths longest);  // one poll and what it found, then what is due
+  void turn(Duration longest);  // one poll and what it found, then what is due
   // By how much this turn came too late for what was due: the process was held up, and so were all that it
   // measures.
-  Tenths late() const { return late_; }
+  Duration late() const { return late_; }
 
  private:
   struct Watched {
@@ -51,7 +51,8 @@
   void tick();
   void run(const Due& what) const;
 
-  Tenths start_ = 0, now_ = 0, late_ = 0;
+  TimePoint start_ = 0, now_ = 0;
+  Duration late_ = 0;
   std::uint64_t numbers_ = 0;
   SlotMap<Watched> watched_;
   std::map<Deadline, Due> deadlines_;
--- a/src/base/socket.h
+++ b/src/base/socket.h
@@ -23,7 +23,7 @@
 // What a configuration says of descriptors and connecting. One holds for all parts of a node.
 struct Limits {
   int descriptors = 1024;
-  Tenths connect_time = 0;
+  Duration connect_time = 0;
   std::size_t list_bytes = 1024 * 1024;  // the largest list of hosts that is read
 };
 
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -9,7 +9,6 @@
 using Duration = std::int64_t;
 /// A point of monotonic time, in ticks of 0.1 ms since an arbitrary start.
 using TimePoint = std::int64_t;
-using Tenths = std::int64_t;  // the earlier name of both; only where not yet replaced
 
 constexpr Duration kMs = 10;
 constexpr Duration kSecond = 1000 * kMs;
--- a/src/emulator/audit/audit.cpp
+++ b/src/emulator/audit/audit.cpp
@@ -5,13 +5,13 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr std::size_t kFirst = 5;                // cases kept of each rule
-constexpr Tenths kDies = 200 * kMs;              // a killed process, until its connections are reset
-constexpr Tenths kResumedWithin = 40 * kSecond;  // protocol page: a connection from before the run
-constexpr Tenths kRepeatMargin = 300 * kMs;      // a node may stop repeating so long before the window ends
-constexpr Tenths kFallenAgain = 2 * kSecond;     // one push is one breach
+constexpr std::size_t kFirst = 5;                  // cases kept of each rule
+constexpr Duration kDies = 200 * kMs;              // a killed process, until its connections are reset
+constexpr Duration kResumedWithin = 40 * kSecond;  // protocol page: a connection from before the run
+constexpr Duration kRepeatMargin = 300 * kMs;      // a node may stop repeating so long before the window ends
+constexpr Duration kFallenAgain = 2 * kSecond;     // one push is one breach
 
-std::string ms(Tenths span) {
+std::string ms(Duration span) {
   return std::to_string(span / kMs) + " ms";
 }
 
@@ -20,10 +20,10 @@
 const char* const kRuleNames[kRules] = {"final_answer", "effect_twice",  "drain_kept",
                                         "cold_pushed",  "bytes_changed", "cut_off"};
 
-Audit::Audit(const Scenario& scenario, const Plan& plan, Tenths slack)
+Audit::Audit(const Scenario& scenario, const Plan& plan, Duration slack)
     : scenario_(scenario), plan_(plan), slack_(slack), fallen_(plan.hosts.size(), -kFallenAgain) {}
 
-void Audit::breach(Rule rule, const std::string& id, Tenths when, std::string what) {
+void Audit::breach(Rule rule, const std::string& id, TimePoint when, std::string what) {
   Found& found = found_[static_cast<int>(rule)];
   ++found.count;
   if (found.first.size() < kFirst) {
@@ -35,7 +35,7 @@
   return std::any_of(std::begin(found_), std::end(found_), [](const Found& one) { return one.count > 0; });
 }
 
-void Audit::asked(const std::string& id, int node, int traffic, Tenths when, bool resumed) {
+void Audit::asked(const std::string& id, int node, int traffic, TimePoint when, bool resumed) {
   ++totals_.asked;
   Request& held = held_[id];
   held.node = node, held.traffic = traffic, held.asked = when, held.resumed = resumed;
@@ -44,16 +44,16 @@
   held.owed = killed == killed_.end() || when < killed->second || when > killed->second + kDies;
 }
 
-Tenths Audit::expiry(const Request& held) const {
+TimePoint Audit::expiry(const Request& held) const {
   if (held.resumed) {
     return held.asked + kResumedWithin + slack_;
   }
   const Traffic& type = scenario_.traffic[static_cast<std::size_t>(held.traffic)];
-  return held.asked + static_cast<Tenths>(type.expiry_ms * kMs) +
-         static_cast<Tenths>(scenario_.grace_to_answer_ms * kMs) + slack_;
+  return held.asked + static_cast<Duration>(type.expiry_ms * kMs) +
+         static_cast<Duration>(scenario_.grace_to_answer_ms * kMs) + slack_;
 }
 
-void Audit::answered(const std::string& id, Answered answer, Tenths when) {
+void Audit::answered(const std::string& id, Answered answer, TimePoint when) {
   const auto at = held_.find(id);
   if (at == held_.end()) {
     return breach(Rule::final_answer, id, when, "an answer that nobody asked for");
@@ -88,7 +88,7 @@
 }
 
 // Only its host's leaving, its node's end, or a try that may have run and must not be repeated may end one.
-bool Audit::may_end_resumed(const Request& held, Tenths when) const {
+bool Audit::may_end_resumed(const Request& held, TimePoint when) const {
   if (const auto stops = stopping_.find(held.node); stops != stopping_.end() && stops->second) {
     return true;
   }
@@ -104,7 +104,7 @@
   return false;
 }
 
-void Audit::client_left(const std::string& id, Tenths when) {
+void Audit::client_left(const std::string& id, TimePoint when) {
   const auto at = held_.find(id);
   if (at == held_.end() || !at->second.owed) {
     return;
@@ -117,20 +117,20 @@
 }
 
 // Called once a client has given up: it has waited beyond its expiry and got nothing.
-void Audit::overdue(const std::string& id, Request& held, Tenths when) {
+void Audit::overdue(const std::string& id, Request& held, TimePoint when) {
   held.owed = false;
   ++totals_.unanswered;
   breach(Rule::final_answer, id, when, "no answer before its expiry");
 }
 
-bool Audit::drops_repeats(const Traffic& type, const Attempt& first, int host, Tenths when) const {
+bool Audit::drops_repeats(const Traffic& type, const Attempt& first, int host, TimePoint when) const {
   if (type.effect == "idempotent") {
     return true;
   }
   if (type.effect != "deduplicated") {
     return false;
   }
-  if (when - first.since >= static_cast<Tenths>(type.repeat_window_ms * kMs) + slack_) {
+  if (when - first.since >= static_cast<Duration>(type.repeat_window_ms * kMs) + slack_) {
     return false;
   }
   const auto& a = plan_.hosts[static_cast<std::size_t>(first.host)];
@@ -138,13 +138,13 @@
   return type.repeat_group == "all" || (type.repeat_group == "zone" ? a.zone == b.zone : first.host == host);
 }
 
-void Audit::try_came(const std::string& id, int node, int host, Tenths when) {
+void Audit::try_came(const std::string& id, int node, int host, TimePoint when) {
   ++tries_;
   const std::string& name = plan_.hosts[static_cast<std::size_t>(host)].id;
   const auto at = held_.find(id);
   const bool new_there = at == held_.end() || !at->second.resumed;
   const auto knows = leaving_.find({node, host});
-  const Tenths grace = static_cast<Tenths>(scenario_.drain_grace_ms * kMs) + slack_;
+  const Duration grace = static_cast<Duration>(scenario_.drain_grace_ms * kMs) + slack_;
   if (new_there && knows != leaving_.end() && when > knows->second + grace) {
     breach(Rule::drain_kept, id, when,
            "sent to " + name + " " + ms(when - knows->second) + " after the node knew that it leaves");
@@ -181,7 +181,7 @@
   }
 }
 
-void Audit::try_over(const std::string& id, int host, bool may_have_run, Tenths) {
+void Audit::try_over(const std::string& id, int host, bool may_have_run, TimePoint) {
   const auto at = held_.find(id);
   if (at == held_.end()) {
     return;
@@ -193,7 +193,7 @@
   }
 }
 
-void Audit::told(int node, int host, bool leaving, Tenths when) {
+void Audit::told(int node, int host, bool leaving, TimePoint when) {
   if (!leaving) {
     leaving_.erase({node, host});
   } else {
@@ -201,7 +201,7 @@
   }
 }
 
-void Audit::node_lost(int node, Tenths when) {
+void Audit::node_lost(int node, TimePoint when) {
   killed_[node] = when;
   for (auto& [id, held] : held_) {
     if (held.node != node || !held.owed) {
@@ -225,9 +225,9 @@
   std::erase_if(leaving_, [&](const auto& one) { return one.first.first == node; });
 }
 
-void Audit::pushed(int host, double ratio, Tenths when) {
+void Audit::pushed(int host, double ratio, TimePoint when) {
   peak_push_ = std::max(peak_push_, ratio);
-  Tenths& last = fallen_[static_cast<std::size_t>(host)];
+  TimePoint& last = fallen_[static_cast<std::size_t>(host)];
   if (ratio <= 1 || when - last < kFallenAgain) {
     return;
   }
@@ -236,13 +236,13 @@
          "sent " + std::to_string(static_cast<int>(ratio * 100)) + "% of what pushes it over");
 }
 
-void Audit::bytes(const std::string& id, bool same, Tenths when) {
+void Audit::bytes(const std::string& id, bool same, TimePoint when) {
   if (!same) {
     breach(Rule::bytes_changed, id, when, "a line came back otherwise than it was sent");
   }
 }
 
-void Audit::ended(const std::string& id, Ended how, bool host_lives, Tenths when) {
+void Audit::ended(const std::string& id, Ended how, bool host_lives, TimePoint when) {
   const auto at = held_.find(id);
   if (at == held_.end() || !at->second.standing) {
     return;
@@ -256,7 +256,7 @@
   }
 }
 
-void Audit::finish(Tenths when) {
+void Audit::finish(TimePoint when) {
   std::vector<std::string> late;  // in the order of their names, whatever the table's
   for (const auto& [id, held] : held_) {
     if (held.owed && when > expiry(held)) {
--- a/src/emulator/live/clients.cpp
+++ b/src/emulator/live/clients.cpp
@@ -16,15 +16,15 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kPingEvery = 300 * kMs;   // to a node that is not dealt to
-constexpr Tenths kFrontStops = 300 * kMs;  // the front still deals to a node that stops
-constexpr Tenths kNodeEnds = 3600 * kMs;
-constexpr Tenths kNoNode = 500 * kMs;
-constexpr Tenths kLingers = 20 * kMs;  // over its time, a client waits for an answer that is late
+constexpr Duration kPingEvery = 300 * kMs;   // to a node that is not dealt to
+constexpr Duration kFrontStops = 300 * kMs;  // the front still deals to a node that stops
+constexpr Duration kNodeEnds = 3600 * kMs;
+constexpr Duration kNoNode = 500 * kMs;
+constexpr Duration kLingers = 20 * kMs;  // over its time, a client waits for an answer that is late
 constexpr std::size_t kMost = 16 * 1024;
 constexpr long kWaitsForAll = 4294967;  // ms: what one that stood before the run says it will wait
 constexpr double kResumedMs = 40000;    // protocol page: when it is lost
-constexpr Tenths kNodesReady = 30 * kSecond;
+constexpr Duration kNodesReady = 30 * kSecond;
 
 class Clients : public RigProcess {
  public:
@@ -37,12 +37,12 @@
     bool begun = false, done = false, waiting = false, standing = false, written = false, closing = false;
     int attempt = 0, failures = 0, node = -1;
     std::string id, in, out;
-    Tenths begun_at = 0, wish_until = 0, sent = 0;
+    TimePoint begun_at = 0, wish_until = 0, sent = 0;
     EventLoop::Deadline comes, expires, leaves, speaks;
-    std::deque<std::pair<std::string, Tenths>> lines;  // sent and not yet back
-    Tenths line_at = 0;                                // when the last one went
+    std::deque<std::pair<std::string, TimePoint>> lines;  // sent and not yet back
+    TimePoint line_at = 0;                                // when the last one went
     bool line_good = false, quiet = false;
-    Tenths credited = 0;  // until when its time has been counted
+    TimePoint credited = 0;  // until when its time has been counted
     long number = 0;
   };
   struct Node {
@@ -75,7 +75,7 @@
     }
     for (std::size_t i = 0; i < plan_.faults.size(); ++i) {
       const PlannedFault& planned = plan_.faults[i];
-      const Tenths when = from_seconds(planned.fault.at_s);
+      const TimePoint when = from_seconds(planned.fault.at_s);
       if (planned.fault.kind == FaultKind::crowd) {
         once(when, [this, i] { crowd_comes(i); });
         once(when + from_seconds(planned.fault.for_s), [this] { crowd_.clear(); });
@@ -109,7 +109,7 @@
       }
     }
   }
-  void every_second(Tenths when) {
+  void every_second(TimePoint when) {
     records_.add(
         now(), Seen::standing, "",
         std::count_if(clients_.begin(), clients_.end(), [](const Client& one) { return one.standing; }));
@@ -178,7 +178,7 @@
     return scenario_.traffic[static_cast<std::size_t>(session(i).traffic)];
   }
 
-  void comes_at(std::size_t i, Tenths when) {
+  void comes_at(std::size_t i, TimePoint when) {
     at(clients_[i].comes, when, [this, i] { comes(i); });
   }
 
@@ -276,7 +276,7 @@
         return refused(i);
       }
       const std::string line = opening(i);
-      const Tenths asked = stamp();  // before it can be seen anywhere
+      const TimePoint asked = stamp();  // before it can be seen anywhere
       const auto sent = client.socket.send(line.data(), line.size());
       if (!sent || *sent < line.size()) {
         return refused(i);
@@ -338,7 +338,7 @@
     if (sent == client.lines.end()) {
       return records_.add(stamp(), Seen::bytes, client.id, 0);
     }
-    const Tenths took = now() - sent->second;
+    const Duration took = now() - sent->second;
     records_.add(stamp(), Seen::line, "", client.node, static_cast<long>(took));
     if (sent->second == client.line_at) {
       client.line_good = took <= from_milliseconds(type_of(i).message_goal_ms);
@@ -381,7 +381,7 @@
       return;
     }
     credit(i, now());
-    const Tenths every = from_seconds(scenario_.line_every_s);
+    const Duration every = from_seconds(scenario_.line_every_s);
     at(client.speaks, now() + every, [this, i] { speak(i); });
     client.quiet = hush();
     if (client.quiet) {
@@ -408,9 +408,9 @@
     return false;
   }
   // The time since the last line went counts as served if that one is back in time, or has still time to be.
-  void credit(std::size_t i, Tenths until) {
+  void credit(std::size_t i, TimePoint until) {
     Client& client = clients_[i];
-    const Tenths from = std::exchange(client.credited, until);
+    const TimePoint from = std::exchange(client.credited, until);
     const bool still = !client.lines.empty() && client.lines.back().second == client.line_at &&
                        until - client.line_at < from_milliseconds(type_of(i).message_goal_ms);
     const bool good = client.quiet || (client.line_at != 0 && (client.line_good || still));
@@ -520,7 +520,7 @@
     }
     wish_ends(i, now());
   }
-  void wish_ends(std::size_t i, Tenths when) {
+  void wish_ends(std::size_t i, TimePoint when) {
     if (std::exchange(clients_[i].done, true)) {
       return;
     }
@@ -542,7 +542,7 @@
   std::vector<Node> nodes_;
   std::vector<std::size_t> zone_turns_;
   std::vector<Socket> crowd_;
-  Tenths patience_ = 0;
+  Duration patience_ = 0;
 };
 
 }  // namespace
--- a/src/emulator/live/gather.cpp
+++ b/src/emulator/live/gather.cpp
@@ -8,9 +8,9 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kLateVoid =
+constexpr Duration kLateVoid =
     200 * kMs;  // a rig that was held up for so long has seen nothing it can vouch for
-constexpr Tenths kHeardLater = 200 * kMs;  // what a host ends is seen by its client within this
+constexpr Duration kHeardLater = 200 * kMs;  // what a host ends is seen by its client within this
 constexpr std::size_t kLeastRows = 12;
 
 double seconds(long tenths) {
@@ -103,11 +103,11 @@
     return a.when != b.when ? a.when < b.when : turn(a.kind) < turn(b.kind);
   });
 
-  std::map<std::string, Tenths> host_ended;
+  std::map<std::string, TimePoint> host_ended;
   std::map<std::string, int> at_host;
   std::map<std::string, int> at_node;
-  std::map<int, std::vector<std::pair<Tenths, bool>>> host_was;
-  std::map<int, std::vector<Tenths>> lost;
+  std::map<int, std::vector<std::pair<TimePoint, bool>>> host_was;
+  std::map<int, std::vector<TimePoint>> lost;
   for (const Record& one : records) {
     if (one.kind == Seen::host_ended) {
       host_ended.emplace(one.id, one.when);
@@ -125,7 +125,7 @@
       lost[static_cast<int>(one.a)].push_back(one.when);
     }
   }
-  const auto host_lives = [&](const std::string& id, Tenths when) {
+  const auto host_lives = [&](const std::string& id, TimePoint when) {
     if (const auto by_host = host_ended.find(id);
         by_host != host_ended.end() && by_host->second <= when + kHeardLater) {
       return false;
@@ -140,12 +140,12 @@
     }
     return up;
   };
-  const auto node_died = [&](const std::string& id, Tenths when) {
+  const auto node_died = [&](const std::string& id, TimePoint when) {
     const auto node = at_node.find(id);
     if (node == at_node.end()) {
       return false;
     }
-    for (const Tenths at : lost[node->second]) {
+    for (const TimePoint at : lost[node->second]) {
       if (when >= at - kHeardLater && when <= at + kHeardLater) {
         return true;
       }
@@ -154,9 +154,9 @@
   };
 
   bool starved = false;
-  Audit audit(scenario, plan, static_cast<Tenths>(scenario.slack_ms * kMs));
-  std::vector<std::vector<Tenths>> setups(static_cast<std::size_t>(scenario.nodes));
-  std::vector<std::vector<Tenths>> lines = setups;
+  Audit audit(scenario, plan, static_cast<Duration>(scenario.slack_ms * kMs));
+  std::vector<std::vector<Duration>> setups(static_cast<std::size_t>(scenario.nodes));
+  std::vector<std::vector<Duration>> lines = setups;
   for (const Record& one : records) {
     Second& second = result.second(seconds(one.when));
     const int a = static_cast<int>(one.a);
@@ -275,7 +275,7 @@
     const auto& samples = gathered.samples[n];
     std::vector<std::vector<double>> x;
     std::vector<double> y;
-    const auto between = [](const std::vector<Tenths>& times, Tenths from, Tenths to) {
+    const auto between = [](const std::vector<TimePoint>& times, TimePoint from, TimePoint to) {
       return static_cast<double>(std::lower_bound(times.begin(), times.end(), to) -
                                  std::lower_bound(times.begin(), times.end(), from));
     };
@@ -285,8 +285,8 @@
       if (i == 0 || samples[i].cpu_s < samples[i - 1].cpu_s) {
         continue;  // a new process
       }
-      const Tenths from = samples[i - 1].when;
-      const Tenths to = samples[i].when;
+      const TimePoint from = samples[i - 1].when;
+      const TimePoint to = samples[i].when;
       x.push_back({between(setups[n], from, to), between(lines[n], from, to), seconds(to - from)});
       y.push_back(samples[i].cpu_s - samples[i - 1].cpu_s);
       figures.cpu_s += y.back();
--- a/src/emulator/live/gather.h
+++ b/src/emulator/live/gather.h
@@ -6,7 +6,7 @@
 namespace dapplewharf::emulator {
 
 struct Sample {  // of one node's process
-  Tenths when = 0;
+  TimePoint when = 0;
   double cpu_s = 0;
   long rss_kib = 0, descriptors = 0;
 };
--- a/src/emulator/live/live.cpp
+++ b/src/emulator/live/live.cpp
@@ -22,10 +22,10 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kReadyWithin = 40 * kSecond;
-constexpr Tenths kBeginsAfter = 300 * kMs;  // the parts have read the beginning by then
-constexpr Tenths kSampleEvery = 250 * kMs;
-constexpr Tenths kEndsWithin = 20 * kSecond;
+constexpr Duration kReadyWithin = 40 * kSecond;
+constexpr Duration kBeginsAfter = 300 * kMs;  // the parts have read the beginning by then
+constexpr Duration kSampleEvery = 250 * kMs;
+constexpr Duration kEndsWithin = 20 * kSecond;
 constexpr double kSignalledAgainS = 0.05;
 constexpr int kFirstNet = 64, kNets = 180;
 constexpr double kAnswersS = 0.3;  // after the last expiry, for what is still on its way
@@ -122,7 +122,7 @@
     await_part(1);
     loop_.turn(0);
     begun_ = loop_.now() + kBeginsAfter;
-    const Tenths steady = begun_ - loop_.of_steady(0);
+    const TimePoint steady = begun_ - loop_.of_steady(0);
     for (const auto& go : goes_) {
       if (write(go->to, &steady, sizeof steady) != sizeof steady) {
         throw RunFailed("a part of the rig has ended");
@@ -130,7 +130,7 @@
     }
     plan_signals();
     sample();
-    const Tenths ends = begun_ + static_cast<Tenths>(for_s * kSecond) + kEndsWithin;
+    const TimePoint ends = begun_ + static_cast<Duration>(for_s * kSecond) + kEndsWithin;
     while (parts_[0].running() || parts_[1].running()) {
       turn();
       if (loop_.now() > ends) {
@@ -218,7 +218,7 @@
     readies_.push_back(std::move(ready)), goes_.push_back(std::move(go));
   }
   void await_part(std::size_t which) {
-    const Tenths until = loop_.now() + kReadyWithin;
+    const TimePoint until = loop_.now() + kReadyWithin;
     for (;;) {
       turn();
       pollfd ready{readies_[which]->from, POLLIN, 0};
@@ -332,9 +332,9 @@
 
   void once(double at_s, EventLoop::Due due) {
     EventLoop::Deadline one;
-    loop_.at(one, begun_ + static_cast<Tenths>(at_s * kSecond), std::move(due));
+    loop_.at(one, begun_ + static_cast<Duration>(at_s * kSecond), std::move(due));
   }
-  Tenths now() const { return loop_.now() - begun_; }
+  TimePoint now() const { return loop_.now() - begun_; }
 
   void plan_signals() {
     for (const PlannedFault& planned : plan_.faults) {
@@ -432,7 +432,7 @@
   }
 
   struct Own : std::vector<Record> {
-    void saw(Tenths when, Seen what, std::size_t node) {
+    void saw(TimePoint when, Seen what, std::size_t node) {
       push_back({when, what, "", static_cast<long>(node), 0, 0});
     }
   };
@@ -444,7 +444,8 @@
   Socket held_;
   std::string folder_;
   EventLoop loop_;
-  Tenths begun_ = INT64_MAX / 2, late_ = 0;
+  TimePoint begun_ = INT64_MAX / 2;
+  Duration late_ = 0;
   EventLoop::Deadline sampled_;
   std::vector<Process> nodes_, parts_;
   std::vector<bool> away_;
--- a/src/emulator/live/record.cpp
+++ b/src/emulator/live/record.cpp
@@ -8,7 +8,7 @@
 
 namespace dapplewharf::emulator {
 
-void Records::add(Tenths when, Seen kind, const std::string& id, long a, long b, long c) {
+void Records::add(TimePoint when, Seen kind, const std::string& id, long a, long b, long c) {
   fmt::format_to(std::back_inserter(text_), "{} {} {} {} {} {}\n", when, static_cast<char>(kind),
                  id.empty() ? "-" : id, a, b, c);
 }
--- a/src/emulator/live/record.h
+++ b/src/emulator/live/record.h
@@ -37,7 +37,7 @@
 };
 
 struct Record {
-  Tenths when = 0;
+  TimePoint when = 0;
   Seen kind = Seen::late;
   std::string id;
   long a = 0, b = 0, c = 0;
@@ -45,7 +45,7 @@
 
 class Records {
  public:
-  void add(Tenths when, Seen kind, const std::string& id, long a = 0, long b = 0, long c = 0);
+  void add(TimePoint when, Seen kind, const std::string& id, long a = 0, long b = 0, long c = 0);
   void write(const std::string& path) const;  // whole, throws BadInput
   static std::vector<Record> read(const std::string& path);
 
--- a/src/emulator/model/host.cpp
+++ b/src/emulator/model/host.cpp
@@ -6,14 +6,14 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Tenths kStep = 20 * kMs;  // while a host warms up its speed is held for so long
-constexpr Tenths kFar = 3600 * kSecond;
+constexpr Duration kStep = 20 * kMs;  // while a host warms up its speed is held for so long
+constexpr Duration kFar = 3600 * kSecond;
 constexpr double kLeastRoom = 0.04;  // a host that is full takes 25 times as long for a message
 constexpr double kSetups = 0.15;     // of a host that set-ups have even when it is full
 constexpr double kCrowded = 0.05;    // s of set-ups that wait: messages take twice as long beside them
 constexpr double kChance = 2;        // connections of slack on the limit of a cold host
 
-double seconds(Tenths span) {
+double seconds(Duration span) {
   return static_cast<double>(span) / kSecond;
 }
 
@@ -30,10 +30,10 @@
       fall_multiple_(scenario.fall_multiple),
       full_connections_(planned.cores * planned.speed * scenario.per_core / plan.mean_load),
       queue_most_(static_cast<std::size_t>(scenario.queue)),
-      cold_time_(static_cast<Tenths>(scenario.cold_s * kSecond)),
-      fall_time_(static_cast<Tenths>(scenario.fall_ms * kMs)) {}
+      cold_time_(static_cast<Duration>(scenario.cold_s * kSecond)),
+      fall_time_(static_cast<Duration>(scenario.fall_ms * kMs)) {}
 
-void HostModel::start(Tenths now, bool is_cold) {
+void HostModel::start(TimePoint now, bool is_cold) {
   now_ = now;
   started_ = is_cold ? now : -1;
   load_ = piled_ = groups_held_ = 0;
@@ -56,7 +56,7 @@
   return cores_ * speed_ * warmth() * (1 - taken) / slowed;
 }
 
-void HostModel::advance(Tenths now) {
+void HostModel::advance(TimePoint now) {
   while (now_ < now) {
     step(cold() ? std::min(now, now_ + kStep) : now);
   }
@@ -66,7 +66,7 @@
   return std::max(kSetups * capacity(), capacity() - load());
 }
 
-void HostModel::step(Tenths to) {
+void HostModel::step(TimePoint to) {
   const double span = seconds(to - now_);
   const double set_up = std::min(come_ - done_, left() * span);
   done_ += set_up;
@@ -95,13 +95,13 @@
   }
 }
 
-Tenths HostModel::next() const {
+TimePoint HostModel::next() const {
   if (queue_.empty()) {
     return now_ + kFar;
   }
   const double wanted = std::max(0.0, queue_.front().until - done_) / std::max(left(), 1e-6);
-  const auto wait = static_cast<Tenths>(std::ceil(std::min(wanted, 60.0) * kSecond));
-  return now_ + std::max<Tenths>(1, cold() ? std::min(wait, kStep) : wait);
+  const auto wait = static_cast<Duration>(std::ceil(std::min(wanted, 60.0) * kSecond));
+  return now_ + std::max<Duration>(1, cold() ? std::min(wait, kStep) : wait);
 }
 
 void HostModel::stand(double load, int group) {
--- a/src/emulator/model/host.h
+++ b/src/emulator/model/host.h
@@ -23,15 +23,15 @@
  public:
   HostModel(const Scenario& scenario, const Plan& plan, const PlannedHost& planned);
 
-  void start(Tenths now, bool cold);  // a fresh process: nothing held
-  void advance(Tenths now);
+  void start(TimePoint now, bool cold);  // a fresh process: nothing held
+  void advance(TimePoint now);
 
   using Work = std::uint64_t;  // a set-up
   bool full() const { return queue_.size() >= queue_most_; }
   Work add(double work);     // in turn behind those that wait
   std::vector<Work> done();  // that have come out since the last call
   void drop(Work work);      // nobody waits for it any more
-  Tenths next() const;       // when to look again; far away if nothing is in the queue
+  TimePoint next() const;    // when to look again; far away if nothing is in the queue
 
   void stand(double load, int group);
   void leave(double load, int group);
@@ -52,16 +52,17 @@
   double slowed = 1, taken = 0;  // faults: times slower; share that another program takes
 
  private:
-  void step(Tenths to);
+  void step(TimePoint to);
   double stretch() const;
   double left() const;  // of its capacity for set-ups
 
   double cores_, speed_, per_core_, cold_from_, message_s_, probe_s_, group_work_, fall_multiple_,
       full_connections_;
   std::size_t queue_most_;
-  Tenths cold_time_, fall_time_, now_ = 0, started_ = -1;  // started_ below 0: long ago
-  double load_ = 0, piled_ = 0;  // work of connections that should have been done by now
-  double come_ = 0, done_ = 0;   // all work of set-ups
+  Duration cold_time_, fall_time_;
+  TimePoint now_ = 0, started_ = -1;  // started_ below 0: long ago
+  double load_ = 0, piled_ = 0;       // work of connections that should have been done by now
+  double come_ = 0, done_ = 0;        // all work of set-ups
   std::map<int, int> groups_;
   double groups_held_ = 0;
   struct Waiting {
@@ -70,7 +71,7 @@
   };
   std::deque<Waiting> queue_;
   Work numbers_ = 0;
-  std::deque<Tenths> pushes_;
+  std::deque<TimePoint> pushes_;
 };
 
 }  // namespace dapplewharf::emulator
--- a/tests/emulator/audit_test.cpp
+++ b/tests/emulator/audit_test.cpp
@@ -18,7 +18,7 @@
     audit.try_ran("x", host);
     audit.try_over("x", host, may_have_run, now);
   }
-  Tenths now = 10;
+  TimePoint now = 10;
 };
 
 TEST(Audit, OneAnswerInTimeBreaksNothing) {
--- a/tests/gossip/peer_load_table_test.cpp
+++ b/tests/gossip/peer_load_table_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Tenths kNow = 17000000000000;
+constexpr TimePoint kNow = 17000000000000;
 
 PeerLoadTable tally_of(int nodes) {
   return PeerLoadTable(nodes, 0, 7);
@@ -61,7 +61,7 @@
 
 TEST(PeerLoadTable, AStampThatWrapsAndAClockALittleAheadAreUnderstood) {
   PeerLoadTable tally = tally_of(2);
-  const Tenths wraps = kNow - kNow % (65536 * 1000);
+  const TimePoint wraps = kNow - kNow % (65536 * 1000);
   EXPECT_TRUE(tally.receive(1, PeerLoadTable::encode({{"a", 1}}, wraps - 1000), wraps + 1000));
   EXPECT_TRUE(tally.receive(1, PeerLoadTable::encode({{"a", 2}}, wraps + 15000), wraps + 2000));
   EXPECT_EQ(*tally.connections_elsewhere("a", wraps + 2000), 2);
@@ -84,10 +84,10 @@
   PeerLoadTable tally = tally_of(400);
   std::size_t changing = 0;
   std::size_t still = 0;
-  for (Tenths now = 0; now < 10 * kSecond; now += 100) {
+  for (TimePoint now = 0; now < 10 * kSecond; now += 100) {
     changing += tally.choose_recipients(now, {{"a", static_cast<int>(now)}}).size();
   }
-  for (Tenths now = 10 * kSecond; now < 30 * kSecond; now += 100) {
+  for (TimePoint now = 10 * kSecond; now < 30 * kSecond; now += 100) {
     still += tally.choose_recipients(now, {{"a", 1}}).size();
   }
   EXPECT_LE(changing, 51U * 12);
--- a/tests/node/endpoint_discovery_test.cpp
+++ b/tests/node/endpoint_discovery_test.cpp
@@ -31,7 +31,7 @@
 
 TEST(Incarnations, AStepOfTheMachinesClockIsNoRestart) {
   Incarnations starts;
-  const Tenths first = starts.place("h", 1000, 50000, 20000);
+  const TimePoint first = starts.place("h", 1000, 50000, 20000);
   EXPECT_EQ(first, 40000);
   EXPECT_EQ(starts.place("h", 1000, 60000, 90000), first);
   EXPECT_GT(starts.place("h", 2000, 60000, 30000), first);
@@ -60,7 +60,7 @@
     }
     ASSERT_TRUE(net.until([&] { return net.asked.find("\r\n\r\n") != std::string::npos; }));
     net.asked.clear();
-    const Tenths by = net.loop.now() + 20 * kSecond;
+    const TimePoint by = net.loop.now() + 20 * kSecond;
     for (std::size_t i = 0; i < answer.size(); i += 1400) {
       ASSERT_LT(net.loop.now(), by) << "it was refused on the way";
       std::size_t sent = 0;
--- a/tests/node/event_order_test.cpp
+++ b/tests/node/event_order_test.cpp
@@ -41,7 +41,7 @@
   net.answers = {kBusy};  // danger: one call lost before made the next one wait longer
   EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
   EXPECT_TRUE(net.until([&] { return net.calls == 2 && asks(net); }));
-  const Tenths silent_from = net.loop.now();
+  const TimePoint silent_from = net.loop.now();
   EXPECT_TRUE(net.until([&] { return net.calls == 3 && asks(net); }, kToldUnheardMs)) << "opened anew";
   net.answers = {kBusy, Net::http("garbage"), list(net, 2, kAll, "draining")};  // many ask just then
   EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, kToldUnheardMs));
@@ -53,7 +53,7 @@
   Net net;
   EXPECT_TRUE(net.until([&] { return asks(net); }));
   net.moves_discovery();
-  const Tenths moved = net.loop.now();
+  const TimePoint moved = net.loop.now();
   net.answers = {kBusy, kBusy, kBusy, kBusy, list(net, 1, kAll, "draining")};
   EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, kToldAnewMs));
   EXPECT_LT(net.loop.now() - moved, kToldAnewMs * kMs);
@@ -262,7 +262,7 @@
   net.call.close(), net.asked.clear();
   net.run(4000);  // the waits between calls have grown
   EXPECT_FALSE(listen_at(there, net.discovery));
-  const Tenths back = net.loop.now();
+  const TimePoint back = net.loop.now();
   net.answers = {list(net, 2, kAll, "draining")};
   EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
   EXPECT_LT(net.loop.now() - back, 1000 * kMs) << "the grace in the settings";
--- a/tests/node/health_checker_test.cpp
+++ b/tests/node/health_checker_test.cpp
@@ -13,7 +13,7 @@
   Counters counters;
   Limits limits;
   limits.connect_time = 5000;
-  std::vector<Tenths> answered;
+  std::vector<TimePoint> answered;
   HealthChecker checker(net.loop, counters, limits, [&](const std::string&, const HealthCheckResult& probed) {
     answered.push_back(probed.latency);
   });
--- a/tests/node/latency_estimator_test.cpp
+++ b/tests/node/latency_estimator_test.cpp
@@ -7,7 +7,7 @@
 
 TEST(LatencyEstimator, ReportsSlowHealthChecksOnceASecondAndOnceMoreAfterwards) {
   LatencyEstimator meter;
-  Tenths now = 100000;
+  TimePoint now = 100000;
   for (int i = 0; i < 5; ++i) {
     meter.record_health_check(now, 30);
   }
@@ -35,7 +35,7 @@
     meter->record_health_check(100000, 178);
   }
   EXPECT_FALSE(alone.report(100000, 500, {}));
-  EXPECT_GT(among.report(100000, 500, {}, static_cast<Tenths>(2 * work / 2.5)), 250);
+  EXPECT_GT(among.report(100000, 500, {}, static_cast<Duration>(2 * work / 2.5)), 250);
 }
 
 TEST(LatencyEstimator, CountsUnansweredLinesWithTheirAge) {
--- a/tests/policy/backoff_test.cpp
+++ b/tests/policy/backoff_test.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr Tenths kTold = 6 * kSecond;  // operators' term
+constexpr Duration kTold = 6 * kSecond;  // operators' term
 
 }  // namespace
 
 TEST(Backoff, NoWaitOutlastsWhatNoticingALossAndTheQueueLeaveOfTheTime) {
   RandomGenerator chance(3);
   for (const double nodes : {1.0, 30.0, 350.0, 1024.0}) {
-    for (const Tenths most : {Tenths{0}, 200 * kMs, 560 * kMs, 7 * kSecond, INT64_MAX / 2}) {
+    for (const Duration most : {Duration{0}, 200 * kMs, 560 * kMs, 7 * kSecond, INT64_MAX / 2}) {
       const Backoff backoff(nodes, most);
       for (int losses = 1; losses <= 100; ++losses) {
-        const Tenths wait = backoff.again(losses, losses % 2 ? chance.share() : 0.999999);
+        const Duration wait = backoff.again(losses, losses % 2 ? chance.share() : 0.999999);
         EXPECT_GE(wait, 50 * kMs);
         EXPECT_LE(wait, std::max(most, 50 * kMs)) << "what the settings leave";
         EXPECT_LE(Backoff::kPatience + wait + Backoff::kTurn, kTold) << nodes << " nodes, losses " << losses;
@@ -32,10 +32,10 @@
 TEST(Backoff, WhoeverLostTogetherAsksApartAndTheMoreOftenTheFurther) {
   RandomGenerator chance(5);
   for (const int losses : {1, 3, 9}) {
-    Tenths least = INT64_MAX;
-    Tenths most = 0;
+    Duration least = INT64_MAX;
+    Duration most = 0;
     for (int node = 0; node < 350; ++node) {
-      const Tenths wait = Backoff(350, INT64_MAX / 2).again(losses, chance.share());
+      const Duration wait = Backoff(350, INT64_MAX / 2).again(losses, chance.share());
       least = std::min(least, wait), most = std::max(most, wait);
     }
     EXPECT_GE(most * 10, least * 18) << "half of it is chance, after losses " << losses;
@@ -54,7 +54,7 @@
       fake.settings["ask_within"] = 100000.0;
       fake.start(3, seed);
       for (int lost = 0; lost < 12; ++lost) {
-        const Tenths from = fake.now;
+        const TimePoint from = fake.now;
         while (!fake.said(ActionKind::subscribe) && fake.now < from + kTold) {
           fake.now += 100;
           fake.tell(Event{});
@@ -85,7 +85,7 @@
     if (word == "refused") {
       net.discovery.close(), net.call.close(), net.asked.clear();
     }
-    const Tenths down_until = net.loop.now() + 8 * kSecond;  // long enough for the longest wait
+    const TimePoint down_until = net.loop.now() + 8 * kSecond;  // long enough for the longest wait
     while (net.loop.now() < down_until) {
       if (word == "reset" && !net.asked.empty()) {
         net.call.abort(), net.asked.clear();
@@ -103,12 +103,12 @@
     if (word == "silent") {
       net.keep(std::move(net.call)), net.call = Socket(), net.asked.clear();
     }
-    const Tenths back = net.loop.now();
+    const TimePoint back = net.loop.now();
     const std::string list = Net::http(R"({"generation":2,"reset":true,"instances":[]})");
     net.answers = {list};
     EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, 8000)) << how;
     // A watch may wait 3 s and is then given 1.5 s; what it missed is asked for at once.
-    const Tenths most = word == "silent" ? 4500 * kMs : Backoff::kPatience + Backoff::kLongest;
+    const Duration most = word == "silent" ? 4500 * kMs : Backoff::kPatience + Backoff::kLongest;
     EXPECT_LE(net.loop.now() - back, most + 300 * kMs) << how;
     EXPECT_LT(most + 300 * kMs, kTold);
   }
--- a/tests/policy/endpoint_slow_start_test.cpp
+++ b/tests/policy/endpoint_slow_start_test.cpp
@@ -23,7 +23,7 @@
 TEST(Cold, AnEntryRepeatedWhileAHostIsColdDoesNotSendItsClimbBack) {
   Fake fake;
   fake.start(2);
-  const Tenths started = fake.now;
+  const TimePoint started = fake.now;
   fake.list(Fake::listing("new", "near", started), EndpointState::healthy);
   for (int i = 0; i < 9; ++i) {
     fake.pass(10000);
@@ -163,7 +163,7 @@
     fake.stand("old");
     const std::string late = fake.tries["old"].back();
     const std::string cold = late == "h0" ? "h1" : "h0";
-    const Tenths began = fake.now;
+    const TimePoint began = fake.now;
     fake.list(Fake::listing(cold, "near", began), EndpointState::healthy);
     for (int i = 0; fake.now < began + 60000; fake.now += 1000, ++i) {
       fake.delay("old", 900);  // the only warm host is late: a crowd
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -40,7 +40,7 @@
   fake.start(0);
   fake.arrive("a");
   ASSERT_TRUE(fake.said(ActionKind::reject, "a"));
-  const Tenths first = fake.told("a");
+  const Duration first = fake.told("a");
   fake.arrive("b");
   EXPECT_NE(first, fake.told("b")) << "a crowd told the same time returns in step";
 }
@@ -181,7 +181,7 @@
 // Forty nodes with one connection each at a host whose messages take `delay`: how many are moved within 100
 // ms. `told`: what others hold at each host, below 0 where no one says; `group`: of all, else each has its
 // own.
-int moved_by_forty(double told, Tenths delay, std::optional<std::int64_t> group) {
+int moved_by_forty(double told, Duration delay, std::optional<std::int64_t> group) {
   int moved = 0;
   for (int i = 0; i < 40; ++i) {
     Fake fake;
@@ -433,14 +433,14 @@
 }
 
 TEST(Lists, ManyNodesDoNotAskAtTheSameMomentAndNoneTooLate) {
-  std::set<Tenths> asked;
+  std::set<TimePoint> asked;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     Fake fake;
     fake.settings["nodes"] = 400.0;
     fake.settings["discovery"] = "on_request";
     fake.settings["ask_within"] = 100000.0;
     fake.start(3, seed);
-    const Tenths start = fake.now;
+    const TimePoint start = fake.now;
     while (!fake.said(ActionKind::subscribe) && fake.now < start + 100000) {
       fake.now += 1000;
       fake.tell(Event{});
@@ -725,7 +725,7 @@
   for (int i = 0; i < 8; ++i) {
     fails("a" + std::to_string(i));
   }
-  Tenths time_out = 0;
+  Duration time_out = 0;
   for (int i = 0; i < 12; ++i) {
     const std::string id = "b" + std::to_string(i);
     fake.pass(15000);  // longer than what is kept of each host's last set-up
@@ -839,7 +839,7 @@
     Event event;
     event.kind = EventKind::list_lost;
     fake.tell(event);
-    const Tenths lost_at = fake.now;
+    const TimePoint lost_at = fake.now;
     bool asked = false;
     for (int i = 0; i < 80 && !asked; ++i) {
       fake.now += 500;
--- a/tests/policy/reconnect_policy_test.cpp
+++ b/tests/policy/reconnect_policy_test.cpp
@@ -137,7 +137,7 @@
   Net net(1024, true, [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
   const int client = net.client(line_at("h2"));
   const int host = host_with_line(net);
-  const Tenths reset_at = net.loop.now();
+  const TimePoint reset_at = net.loop.now();
   net.reset(host);
   EXPECT_EQ(net.read(client), "ERR\r\n");
   EXPECT_LT(net.loop.now() - reset_at, 200 * kMs);
--- a/tests/policy/request_ledger_test.cpp
+++ b/tests/policy/request_ledger_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 const EndpointLocation kHere{"h0", "near", 1}, kBeside{"h1", "near", 2}, kFar{"h2", "far", 3};
-constexpr Tenths kWindow = 5 * kSecond, kDeadline = 30 * kSecond;
+constexpr Duration kWindow = 5 * kSecond, kDeadline = 30 * kSecond;
 
 RequestLedger opened(Idempotency effect, DeduplicationScope group = DeduplicationScope::all) {
   RequestLedger ledger;
@@ -72,9 +72,9 @@
 TEST(ReattachTimes, AttemptsGoOnUntilThePlatformsTimeIsOver) {
   ReconnectPolicy reattach(0, 4294967 * kMs);
   EXPECT_EQ(reattach.until(), ReconnectPolicy::kAllowed);
-  Tenths now = 0;
+  TimePoint now = 0;
   int attempts = 0;
-  for (std::optional<Tenths> pause = 0; pause; pause = reattach.pause(now, true, 1)) {
+  for (std::optional<Duration> pause = 0; pause; pause = reattach.pause(now, true, 1)) {
     now += *pause;
     EXPECT_LE(*pause, ReconnectPolicy::kLongestPause);
     now += reattach.attempt_time(now);  // every one of them hangs
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -13,7 +13,7 @@
 constexpr double kBorne = 40;  // connections that stand at a warm host
 constexpr double kMultiple = 4, kFrom = 0.14, kColdTime = 24 * kSecond, kFallTime = 1500 * kMs;
 constexpr int kWarm = 6;
-constexpr Tenths kTick = 200 * kMs;
+constexpr Duration kTick = 200 * kMs;
 
 struct Case {
   int nodes;
@@ -26,13 +26,13 @@
   int sent = 0;
 };
 
-double allowed(Tenths age) {
+double allowed(Duration age) {
   const double filled = std::min(1.0, kFrom + (1 - kFrom) * static_cast<double>(age) / kColdTime);
   const double n = kMultiple * kBorne * filled / kColdTime * kFallTime;
   return n + 2 * std::sqrt(n) + 2;
 }
 
-std::unique_ptr<Fake> node_of(const Case& one, int me, std::uint64_t seed, Tenths now) {
+std::unique_ptr<Fake> node_of(const Case& one, int me, std::uint64_t seed, TimePoint now) {
   auto fake = std::make_unique<Fake>();
   fake->settings["nodes"] = static_cast<double>(one.nodes), fake->settings["me"] = static_cast<double>(me);
   fake->settings["cold_from"] = kFrom, fake->settings["cold_time"] = kColdTime;
@@ -45,7 +45,7 @@
 
 Measured play(const Case& one, std::uint64_t seed) {
   RandomGenerator chance(seed);
-  const Tenths start = 1000000;
+  const TimePoint start = 1000000;
   std::vector<std::unique_ptr<Fake>> nodes;
   std::vector<double> part;  // of the traffic
   double parts = 0;
@@ -69,11 +69,11 @@
       ++held[host], ++own[static_cast<std::size_t>(i)][host];
     }
   }
-  std::deque<Tenths> sent;
+  std::deque<TimePoint> sent;
   Measured most;
-  const Tenths born = start + kTick;
-  for (Tenths now = born; now < born + static_cast<Tenths>(kColdTime); now += kTick) {
-    const Tenths age = now - born;
+  const TimePoint born = start + kTick;
+  for (TimePoint now = born; now < born + static_cast<Duration>(kColdTime); now += kTick) {
+    const Duration age = now - born;
     for (int i = 0; i < one.nodes; ++i) {
       auto& fake = nodes[static_cast<std::size_t>(i)];
       auto& mine = own[static_cast<std::size_t>(i)];
--- a/tests/support/fixtures.h
+++ b/tests/support/fixtures.h
@@ -21,7 +21,7 @@
                        {"come_back_told", 1.0},  {"max_come_back", 15000.0}, {"message_goal.0", 500.0},
                        {"discovery", "pushed"}};
   std::unique_ptr<LoadBalancer> node;
-  Tenths now = 1000000;
+  TimePoint now = 1000000;
   std::vector<Action> last;  // the answer to the latest event
   std::map<std::string, std::vector<std::string>> tries;
   std::map<std::string, int> probes;
@@ -45,7 +45,7 @@
   }
 
   static EndpointEntry listing(const std::string& host, const std::string& zone = "near",
-                               Tenths started = 0) {
+                               TimePoint started = 0) {
     return {host, zone, zone == "near" ? 1 : 2, EndpointState::healthy, 1.0, started};
   }
 
@@ -116,7 +116,7 @@
     return tries[id].empty() ? "" : tries[id].back();
   }
 
-  void stand(const std::string& id, Tenths took = 100) {
+  void stand(const std::string& id, Duration took = 100) {
     Event event;
     event.kind = EventKind::established;
     event.id = id;
@@ -137,7 +137,7 @@
     return tell(event);
   }
 
-  const std::vector<Action>& delay(const std::string& id, Tenths delay) {
+  const std::vector<Action>& delay(const std::string& id, Duration delay) {
     Event event;
     event.kind = EventKind::delay_told;
     event.id = id;
@@ -169,8 +169,8 @@
   }
 
   // Lets time pass: alarms come due, and every probe is answered at once unless its host is silent.
-  void pass(Tenths span) {
-    for (const Tenths until = now + span; now < until;) {
+  void pass(Duration span) {
+    for (const TimePoint until = now + span; now < until;) {
       now += 1000;
       Event alarm;
       alarm.number = 1;
@@ -179,7 +179,7 @@
     }
   }
 
-  Tenths told(const std::string& id) const {  // when a rejected client was told to come back
+  Duration told(const std::string& id) const {  // when a rejected client was told to come back
     for (const Action& action : last) {
       if (action.kind == ActionKind::reject && action.id == id) {
         return action.time;
@@ -284,7 +284,7 @@
     asked.clear();
   }
   bool until(const std::function<bool()>& seen, int ms = 5000) {
-    for (const Tenths end = loop.now() + ms * 10; loop.now() < end;) {
+    for (const TimePoint end = loop.now() + ms * 10; loop.now() < end;) {
       if (seen()) {
         return true;
       }
--- a/tests/support/flat_events.h
+++ b/tests/support/flat_events.h
@@ -42,12 +42,12 @@
   std::string host;                        // host
   std::string traffic_type, tenant;        // of an attachment
   std::optional<std::int64_t> key, group;  // the client key; the group that shares work
-  Tenths expiry = 0;                       // when the client gives up; of stopping: when all are answered
+  TimePoint expiry = 0;                    // when the client gives up; of stopping: when all are answered
   bool mid_flow = false, returned = false, repeated = false;
   bool pending = false;  // of one handed over: its host has not brought it up again yet
   int number = 0;        // of the setup try, or of the alarm
   Outcome outcome = Outcome::succeeded;
-  Tenths took = 0;
+  Duration took = 0;
   bool final = false;
   // The load in microseconds of work a second, the delay or wait in tenths, or the connections that all other
   // nodes hold at the host, below 0 where that is unknown.
@@ -73,7 +73,7 @@
   ActionKind kind = ActionKind::log;
   std::string id, host, text;
   int number = 0;
-  Tenths time = 0;
+  Duration time = 0;
 };
 
 }  // namespace dapplewharf
