--- a/src/base/event_loop.cpp
+++ b/src/base/event_loop.cpp
@@ -31,20 +31,20 @@
 }
 
 void EventLoop::tick() {
-  now_ = std::max(now_, of_steady(steady_now()));
+  now_ = std::max(now_, from_steady(steady_now()));
 }
 
-Handle EventLoop::watch(int descriptor, short events, Ready ready) {
-  return watched_.add({descriptor, events, std::move(ready)});
+Handle EventLoop::watch(int descriptor, short events, ReadyCallback ready) {
+  return watched_.insert({descriptor, events, std::move(ready)});
 }
 
-void EventLoop::want(Handle watched, short events) {
+void EventLoop::update_interest(Handle watched, short events) {
   if (Watched* found = watched_.find(watched)) {
     found->events = events;
   }
 }
 
-void EventLoop::at(Deadline& deadline, TimePoint when, Due due) {
+void EventLoop::schedule(Deadline& deadline, TimePoint when, DueCallback due) {
   cancel(deadline);
   deadline = {when, ++numbers_};
   deadlines_.emplace(deadline, std::move(due));
@@ -58,7 +58,7 @@
 }
 
 // Danger: one connection's fault ends the process and all others with it.
-void EventLoop::run(const Due& what) const {
+void EventLoop::run(const DueCallback& what) const {
   try {
     what();
   } catch (const std::exception& error) {
@@ -66,10 +66,10 @@
   }
 }
 
-void EventLoop::turn(Duration longest) {
+void EventLoop::run_once(Duration longest) {
   std::vector<pollfd> polled;
   std::vector<Handle> tickets;
-  watched_.each([&](Handle ticket, const Watched& watched) {
+  watched_.for_each([&](Handle ticket, const Watched& watched) {
     if (watched.events == 0) {
       return;  // danger: an end that is not to be read yet would wake poll for ever
     }
@@ -97,12 +97,12 @@
     if (!watched) {
       continue;
     }
-    const Ready ready = watched->ready;  // it may drop itself
+    const ReadyCallback ready = watched->ready;  // it may drop itself
     run([&] { ready(polled[i].revents); });
   }
   // Danger: after a pause of the process everything seems overdue; what has come meanwhile is read before.
   while (!deadlines_.empty() && deadlines_.begin()->first.when <= now_) {
-    const Due due = std::move(deadlines_.begin()->second);
+    const DueCallback due = std::move(deadlines_.begin()->second);
     deadlines_.erase(deadlines_.begin());
     run(due);
   }
--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -14,8 +14,8 @@
 
 class EventLoop {
  public:
-  using Ready = std::function<void(short)>;  // is given what poll found
-  using Due = std::function<void()>;
+  using ReadyCallback = std::function<void(short)>;  // is given what poll found
+  using DueCallback = std::function<void()>;
   struct Deadline {
     TimePoint when = 0;
     std::uint64_t number = 0;  // 0: none
@@ -28,34 +28,34 @@
   static TimePoint unix_now();
   // For processes that share a beginning: the machine's steady clock, and a time on it as this loop counts.
   static TimePoint steady_now();
-  TimePoint of_steady(TimePoint steady) const { return start_ + steady; }
+  TimePoint from_steady(TimePoint steady) const { return start_ + steady; }
 
-  Handle watch(int descriptor, short events, Ready ready);
-  void want(Handle watched, short events);  // 0: nothing, not even its end
-  void unwatch(Handle watched) { watched_.drop(watched); }
+  Handle watch(int descriptor, short events, ReadyCallback ready);
+  void update_interest(Handle watched, short events);  // 0: nothing, not even its end
+  void unwatch(Handle watched) { watched_.erase(watched); }
 
-  void at(Deadline& deadline, TimePoint when, Due due);  // in place of what stood there
+  void schedule(Deadline& deadline, TimePoint when, DueCallback due);  // in place of what stood there
   void cancel(Deadline& deadline);
 
-  void turn(Duration longest);  // one poll and what it found, then what is due
+  void run_once(Duration longest);  // one poll and what it found, then what is due
   // By how much this turn came too late for what was due: the process was held up, and so were all that it
   // measures.
-  Duration late() const { return late_; }
+  Duration lateness() const { return late_; }
 
  private:
   struct Watched {
     int descriptor = -1;
     short events = 0;
-    Ready ready;
+    ReadyCallback ready;
   };
   void tick();
-  void run(const Due& what) const;
+  void run(const DueCallback& what) const;
 
   TimePoint start_ = 0, now_ = 0;
   Duration late_ = 0;
   std::uint64_t numbers_ = 0;
   SlotMap<Watched> watched_;
-  std::map<Deadline, Due> deadlines_;
+  std::map<Deadline, DueCallback> deadlines_;
 };
 
 }  // namespace dapplewharf
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -71,15 +71,15 @@
 
 }  // namespace
 
-void open_log() {
+void start_logging() {
   const auto sink = std::make_shared<PatientSink>();  // one for both, so that lines stay in order
   node_log = std::make_shared<spdlog::logger>("node", sink);
   decision_log = std::make_shared<spdlog::logger>("decisions", sink);
   spdlog::set_default_logger(node_log);
-  set_log({});
+  configure_logging({});
 }
 
-void set_log(const LogSettings& settings) {
+void configure_logging(const LogSettings& settings) {
   if (!node_log) {
     return;
   }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -11,8 +11,8 @@
               decisions = "info";  // debug, info, warning, error or off; of the module's own lines
 };
 
-void open_log();
-void set_log(const LogSettings& settings);
+void start_logging();
+void configure_logging(const LogSettings& settings);
 void log_decision(const std::string& line);  // a line of the decision module
 
 }  // namespace dapplewharf
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -16,7 +16,7 @@
     const auto turn = static_cast<std::uint32_t>(old >> 59);
     return (mixed >> turn) | (mixed << ((32 - turn) & 31));
   }
-  double share() { return next() / 4294967296.0; }
+  double next_fraction() { return next() / 4294967296.0; }
 };
 
 inline std::uint64_t hash(std::uint64_t word) {  // the finaliser of SplitMix64
--- a/src/base/slot_map.h
+++ b/src/base/slot_map.h
@@ -11,34 +11,34 @@
 namespace dapplewharf {
 
 struct Handle {
-  std::uint32_t slot = 0, life = 0;  // no ticket has life 0
-  explicit operator bool() const { return life != 0; }
+  std::uint32_t slot = 0, generation = 0;  // no ticket has life 0
+  explicit operator bool() const { return generation != 0; }
   bool operator==(const Handle&) const = default;
 };
 
-template <class Thing>
+template <class Value>
 class SlotMap {
  public:
-  Handle add(Thing thing) {
+  Handle insert(Value thing) {
     if (free_.empty()) {
       free_.push_back(static_cast<std::uint32_t>(slots_.size()));
       slots_.emplace_back();
     }
     const std::uint32_t at = free_.back();
     free_.pop_back();
-    slots_[at].thing = std::make_unique<Thing>(std::move(thing));
+    slots_[at].thing = std::make_unique<Value>(std::move(thing));
     if (++slots_[at].life == 0) {
       ++slots_[at].life;
     }
     return {at, slots_[at].life};
   }
-  Thing* find(Handle ticket) {
-    if (ticket.slot >= slots_.size() || slots_[ticket.slot].life != ticket.life) {
+  Value* find(Handle ticket) {
+    if (ticket.slot >= slots_.size() || slots_[ticket.slot].life != ticket.generation) {
       return nullptr;
     }
     return slots_[ticket.slot].thing.get();
   }
-  void drop(Handle ticket) {
+  void erase(Handle ticket) {
     if (!find(ticket)) {
       return;
     }
@@ -46,7 +46,7 @@
     free_.push_back(ticket.slot);
   }
   template <class Visit>
-  void each(Visit visit) {  // what is visited may be dropped on the way
+  void for_each(Visit visit) {  // what is visited may be dropped on the way
     for (std::uint32_t at = 0; at < slots_.size(); ++at) {
       if (slots_[at].thing) {
         visit(Handle{at, slots_[at].life}, *slots_[at].thing);
@@ -58,7 +58,7 @@
  private:
   struct Slot {
     std::uint32_t life = 0;
-    std::unique_ptr<Thing> thing;
+    std::unique_ptr<Value> thing;
   };
   std::vector<Slot> slots_;
   std::vector<std::uint32_t> free_;
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -28,11 +28,11 @@
 
 }  // namespace
 
-bool is_way_broken(int error) {
+bool is_path_broken(int error) {
   return error == ETIMEDOUT || error == EHOSTUNREACH || error == ENETUNREACH || error == ENETDOWN;
 }
 
-bool is_local_and_passing(int error) {
+bool is_transient_local_error(int error) {
   switch (error) {
     case EINTR:
     case EAGAIN:
@@ -49,7 +49,7 @@
   }
 }
 
-std::optional<sockaddr_in> address_of(const std::string& text) {
+std::optional<sockaddr_in> parse_address(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos) {
     return std::nullopt;
@@ -87,7 +87,7 @@
   descriptor_ = -1;
 }
 
-void Socket::abort() {
+void Socket::close_with_reset() {
   const linger now{1, 0};
   if (descriptor_ >= 0) {
     setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -95,7 +95,7 @@
   close();
 }
 
-void Socket::finish() const {
+void Socket::shut_down_sending() const {
   if (descriptor_ >= 0) {
     shutdown(descriptor_, SHUT_WR);
   }
@@ -128,7 +128,7 @@
   return std::nullopt;
 }
 
-void Socket::send_whole(std::string_view bytes) const {
+void Socket::send_without_waiting(std::string_view bytes) const {
   for (int i = 0; i < kSendTries && !bytes.empty(); ++i) {
     const auto sent = send(bytes.data(), bytes.size());
     if (!sent) {
@@ -138,46 +138,46 @@
   }
 }
 
-bool Socket::has_news() const {
+bool Socket::has_input() const {
   char byte;
   return recv(descriptor_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 || !may_be_called_again(errno);
 }
 
-bool Socket::connected() const {
+bool Socket::is_connected() const {
   int fault = 0;
   socklen_t size = sizeof fault;
   return getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &fault, &size) == 0 && fault == 0;
 }
 
-Dial dial(const sockaddr_in& to, int limit, int kept_back, Socket& socket) {
+ConnectStart start_connecting(const sockaddr_in& to, int limit, int kept_back, Socket& socket) {
   Socket made(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   // Danger: tries that take the last descriptors leave none to tell clients so.
-  if (Socket::short_of(limit, kept_back)) {
-    return Dial::no_descriptor;
+  if (Socket::is_short_of_descriptors(limit, kept_back)) {
+    return ConnectStart::no_descriptor;
   }
   if (!made) {
-    return Dial::local_failure;
+    return ConnectStart::local_failure;
   }
   const int on = 1;
-  setsockopt(made.number(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  const int done = connect(made.number(), reinterpret_cast<const sockaddr*>(&to), sizeof to);
+  setsockopt(made.descriptor(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  const int done = connect(made.descriptor(), reinterpret_cast<const sockaddr*>(&to), sizeof to);
   if (done != 0 && errno != EINPROGRESS && errno != EINTR) {
-    return is_local_and_passing(errno) ? Dial::local_failure : Dial::refused;
+    return is_transient_local_error(errno) ? ConnectStart::local_failure : ConnectStart::refused;
   }
   socket = std::move(made);
-  return Dial::begun;
+  return ConnectStart::in_progress;
 }
 
-std::optional<std::string> listen_at(const sockaddr_in& at, Socket& socket) {
+std::optional<std::string> listen_on(const sockaddr_in& at, Socket& socket) {
   int error = 0;
   const bool listens = retry_blocking({kPassingTries, kBindDelay}, [&](int attempt) {
     Socket made(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
     if (made) {
-      setsockopt(made.number(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+      setsockopt(made.descriptor(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     }
-    if (made && bind(made.number(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 &&
-        listen(made.number(), SOMAXCONN) == 0) {
+    if (made && bind(made.descriptor(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 &&
+        listen(made.descriptor(), SOMAXCONN) == 0) {
       socket = std::move(made);
       return StepResult::succeeded;
     }
@@ -186,7 +186,7 @@
       return attempt < kBindTries ? StepResult::retry : StepResult::failed;
     }
     // An address that is not this machine's never becomes one.
-    const bool passing = is_local_and_passing(error) && error != EADDRNOTAVAIL;
+    const bool passing = is_transient_local_error(error) && error != EADDRNOTAVAIL;
     return passing ? StepResult::retry : StepResult::failed;
   });
   return listens ? std::nullopt : std::optional(std::string(std::strerror(error)));
--- a/src/emulator/live/clients.cpp
+++ b/src/emulator/live/clients.cpp
@@ -126,19 +126,20 @@
     loop_.unwatch(node.watched);
     node.watched = {}, node.in.clear();
     node.ping = Socket();
-    loop_.at(node.next, loop_.now() + kPingEvery, [this, n] { ping(n); });
-    if (dial(*address_of(addresses_.node(static_cast<int>(n))), 1 << 20, 0, node.ping) != Dial::begun) {
+    loop_.schedule(node.next, loop_.now() + kPingEvery, [this, n] { ping(n); });
+    if (start_connecting(*parse_address(addresses_.node(static_cast<int>(n))), 1 << 20, 0, node.ping) !=
+        ConnectStart::in_progress) {
       return;
     }
-    node.watched = loop_.watch(node.ping.number(), POLLOUT, [this, n](short what) { pinged(n, what); });
+    node.watched = loop_.watch(node.ping.descriptor(), POLLOUT, [this, n](short what) { pinged(n, what); });
   }
   void pinged(std::size_t n, short what) {
     Node& node = nodes_[n];
     if (what & POLLOUT) {
-      if (!node.ping.connected() || !node.ping.send("PING\r\n", 6)) {
+      if (!node.ping.is_connected() || !node.ping.send("PING\r\n", 6)) {
         return loop_.unwatch(node.watched);
       }
-      return loop_.want(node.watched, POLLIN);
+      return loop_.update_interest(node.watched, POLLIN);
     }
     bool ended = false;
     const auto got = node.ping.receive(node.in, 64, ended);
@@ -204,15 +205,16 @@
     client.in.clear(), client.lines.clear();
     client.waiting = true, client.written = client.closing = false;
     client.sent = now();
-    const Dial dialled = dial(*address_of(addresses_.node(client.node)), 1 << 20, 0, client.socket);
-    if (dialled == Dial::no_descriptor) {
+    const ConnectStart dialled =
+        start_connecting(*parse_address(addresses_.node(client.node)), 1 << 20, 0, client.socket);
+    if (dialled == ConnectStart::no_descriptor) {
       report_descriptors_exhausted();
     }
-    if (dialled != Dial::begun) {
+    if (dialled != ConnectStart::in_progress) {
       return refused(i);
     }
     const int attempt = client.attempt;
-    client.watched = loop_.watch(client.socket.number(), POLLOUT, [this, i, attempt](short what) {
+    client.watched = loop_.watch(client.socket.descriptor(), POLLOUT, [this, i, attempt](short what) {
       if (clients_[i].attempt == attempt) {
         ready(i, what);
       }
@@ -225,7 +227,8 @@
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       for (std::size_t k = 0; nodes_[n].dealt && k < each; ++k) {
         Socket silent;
-        if (dial(*address_of(addresses_.node(static_cast<int>(n))), 1 << 20, 0, silent) == Dial::begun) {
+        if (start_connecting(*parse_address(addresses_.node(static_cast<int>(n))), 1 << 20, 0, silent) ==
+            ConnectStart::in_progress) {
           crowd_.push_back(std::move(silent));
         }
       }
@@ -272,7 +275,7 @@
   void ready(std::size_t i, short what) {
     Client& client = clients_[i];
     if (!client.written) {
-      if (!client.socket.connected()) {
+      if (!client.socket.is_connected()) {
         return refused(i);
       }
       const std::string line = opening(i);
@@ -292,7 +295,7 @@
         at(client.leaves, now() + from_milliseconds(session(i).patience_ms),
            [this, i] { gives_up(i, true); });
       }
-      return loop_.want(client.watched, POLLIN);
+      return loop_.update_interest(client.watched, POLLIN);
     }
     if (what & POLLOUT) {
       flush(i);
@@ -434,7 +437,7 @@
     if (client.out.size() > kMost) {
       client.out.clear();
     }
-    loop_.want(client.watched, static_cast<short>(POLLIN | (client.out.empty() ? 0 : POLLOUT)));
+    loop_.update_interest(client.watched, static_cast<short>(POLLIN | (client.out.empty() ? 0 : POLLOUT)));
   }
 
   void closed(std::size_t i) {
--- a/src/emulator/live/endpoint_connections.cpp
+++ b/src/emulator/live/endpoint_connections.cpp
@@ -42,13 +42,13 @@
 }
 
 void EndpointConnections::add(Socket socket, int endpoint, int node) {
-  const int descriptor = socket.number();
+  const int descriptor = socket.descriptor();
   EndpointConnection made;
   made.socket = std::move(socket);
   made.endpoint = endpoint;
   made.node = node;
   made.incarnation = rig_.endpoint(endpoint).incarnation;
-  const Handle handle = rig_.connections.add(std::move(made));
+  const Handle handle = rig_.connections.insert(std::move(made));
   EndpointConnection& connection = *rig_.connections.find(handle);
   ++rig_.endpoint(endpoint).open_connections;
   connection.watched = rig_.process.loop().watch(descriptor, POLLIN, [this, handle](short found) {
@@ -159,7 +159,7 @@
     return;
   }
   char byte;
-  const ssize_t received = ::recv(earlier->socket.number(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  const ssize_t received = ::recv(earlier->socket.descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (received > 0 || (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))) {
     return;
   }
@@ -325,7 +325,7 @@
 void EndpointConnections::update_interest(Handle handle, EndpointConnection& connection) {
   const bool has_output = writes(connection) && !connection.unsent.empty();
   const int events = (reads(connection) ? POLLIN : 0) | (has_output ? POLLOUT : 0);
-  rig_.process.loop().want(connection.watched, static_cast<short>(events));
+  rig_.process.loop().update_interest(connection.watched, static_cast<short>(events));
   if (has_output) {
     flush(handle);
   }
@@ -364,16 +364,17 @@
   }
   const bool all_sent = connection->unsent.empty();
   if (all_sent && connection->close_when_sent && !connection->half_closed) {
-    connection->socket.finish();
+    connection->socket.shut_down_sending();
     connection->half_closed = true;
   }
-  rig_.process.loop().want(connection->watched, static_cast<short>(POLLIN | (all_sent ? 0 : POLLOUT)));
+  rig_.process.loop().update_interest(connection->watched,
+                                      static_cast<short>(POLLIN | (all_sent ? 0 : POLLOUT)));
 }
 
 void EndpointConnections::reset(Handle handle, EndpointConnection& connection) {
   rig_.process.loop().unwatch(connection.watched);
   connection.watched = {};
-  connection.socket.abort();
+  connection.socket.close_with_reset();
   remove(handle);
 }
 
@@ -404,7 +405,7 @@
   }
   rig_.process.loop().cancel(connection->load_change);
   rig_.process.loop().unwatch(connection->watched);
-  rig_.connections.drop(handle);
+  rig_.connections.erase(handle);
 }
 
 void EndpointConnections::reset_all(int endpoint) {
--- a/src/emulator/live/endpoint_list_server.cpp
+++ b/src/emulator/live/endpoint_list_server.cpp
@@ -47,21 +47,22 @@
       continue;
     }
     listen_or_throw(rig_.process.addresses().list(static_cast<int>(node)), listener.socket);
-    listener.watched = rig_.process.loop().watch(listener.socket.number(), POLLIN,
+    listener.watched = rig_.process.loop().watch(listener.socket.descriptor(), POLLIN,
                                                  [this, node](short) { accept_call(node); });
   }
 }
 
 void EndpointListServer::accept_call(std::size_t node) {
-  Socket accepted(accept4(listeners_[node].socket.number(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+  Socket accepted(
+      accept4(listeners_[node].socket.descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!accepted) {
     return;
   }
-  const int descriptor = accepted.number();
+  const int descriptor = accepted.descriptor();
   Call call;
   call.socket = std::move(accepted);
   call.node = static_cast<int>(node);
-  const Handle handle = calls_.add(std::move(call));
+  const Handle handle = calls_.insert(std::move(call));
   calls_.find(handle)->watched =
       rig_.process.loop().watch(descriptor, POLLIN, [this, handle](short) { receive(handle); });
 }
@@ -91,7 +92,8 @@
   call.waits_for_change = call.known_version >= 0 && call.known_version == version_;
   const double delay_ms = call.waits_for_change ? static_cast<double>(wait_ms) : rig_.scenario.list_call_ms;
   EventLoop& loop = rig_.process.loop();
-  loop.at(call.answer_due, loop.now() + from_milliseconds(delay_ms), [this, handle] { answer(handle); });
+  loop.schedule(call.answer_due, loop.now() + from_milliseconds(delay_ms),
+                [this, handle] { answer(handle); });
 }
 
 void EndpointListServer::publish_later(int endpoint, EndpointState state, double delay_s) {
@@ -111,7 +113,7 @@
   ++version_;
   changes_.push_back({.version = version_, .endpoint = index});
   std::vector<Handle> waiting;
-  calls_.each([&](Handle handle, const Call& call) {
+  calls_.for_each([&](Handle handle, const Call& call) {
     if (call.waits_for_change) {
       waiting.push_back(handle);
     }
@@ -196,7 +198,7 @@
     listener.socket.close();
   }
   std::vector<Handle> all;
-  calls_.each([&](Handle handle, const Call&) { all.push_back(handle); });
+  calls_.for_each([&](Handle handle, const Call&) { all.push_back(handle); });
   for (const Handle handle : all) {
     hang_up(handle);
   }
@@ -209,7 +211,7 @@
   }
   rig_.process.loop().unwatch(call->watched);
   rig_.process.loop().cancel(call->answer_due);
-  calls_.drop(handle);
+  calls_.erase(handle);
 }
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/live/endpoint_listeners.cpp
+++ b/src/emulator/live/endpoint_listeners.cpp
@@ -23,9 +23,9 @@
   for (int node = 0; node < rig_.node_count(); ++node) {
     Listener& opened = listener(endpoint, node);
     listen_or_throw(rig_.process.addresses().host(endpoint, node), opened.socket);
-    opened.watched = rig_.process.loop().watch(opened.socket.number(), POLLIN, [this, endpoint, node](short) {
-      accept_connections(endpoint, node);
-    });
+    opened.watched =
+        rig_.process.loop().watch(opened.socket.descriptor(), POLLIN,
+                                  [this, endpoint, node](short) { accept_connections(endpoint, node); });
     if (is_unreachable(endpoint, node)) {
       block(endpoint, node);
     }
@@ -53,11 +53,12 @@
   if (!blocked.socket || !blocked.queue_fillers.empty()) {
     return;
   }
-  rig_.process.loop().want(blocked.watched, 0);
-  ::listen(blocked.socket.number(), 0);
+  rig_.process.loop().update_interest(blocked.watched, 0);
+  ::listen(blocked.socket.descriptor(), 0);
   for (int count = 0; count < kQueueFillers; ++count) {
     Socket filler;
-    dial(*address_of(rig_.process.addresses().host(endpoint, node)), kNoDescriptorLimit, 0, filler);
+    start_connecting(*parse_address(rig_.process.addresses().host(endpoint, node)), kNoDescriptorLimit, 0,
+                     filler);
     blocked.queue_fillers.push_back(std::move(filler));
   }
 }
@@ -68,8 +69,8 @@
     return;
   }
   unblocked.queue_fillers.clear();
-  ::listen(unblocked.socket.number(), SOMAXCONN);
-  rig_.process.loop().want(unblocked.watched, POLLIN);
+  ::listen(unblocked.socket.descriptor(), SOMAXCONN);
+  rig_.process.loop().update_interest(unblocked.watched, POLLIN);
 }
 
 void EndpointListeners::update_reachability(int endpoint) {
@@ -80,8 +81,8 @@
 
 void EndpointListeners::accept_connections(int endpoint, int node) {
   for (;;) {
-    Socket accepted(
-        accept4(listener(endpoint, node).socket.number(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    Socket accepted(accept4(listener(endpoint, node).socket.descriptor(), nullptr, nullptr,
+                            SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!accepted) {
       if (errno == EMFILE || errno == ENFILE) {
         rig_.process.report_descriptors_exhausted();
@@ -90,7 +91,7 @@
     }
     const double most_connections = rig_.scenario.cap * rig_.planned(endpoint).cores;
     if (rig_.endpoint(endpoint).open_connections >= most_connections) {
-      accepted.abort();
+      accepted.close_with_reset();
       continue;
     }
     parts_.connections.add(std::move(accepted), endpoint, node);
--- a/src/emulator/live/endpoint_rig.cpp
+++ b/src/emulator/live/endpoint_rig.cpp
@@ -29,7 +29,7 @@
 
 std::vector<Handle> EndpointRig::connections_to(int endpoint) {
   std::vector<Handle> found;
-  connections.each([&](Handle handle, const EndpointConnection& connection) {
+  connections.for_each([&](Handle handle, const EndpointConnection& connection) {
     if (connection.endpoint == endpoint) {
       found.push_back(handle);
     }
--- a/src/emulator/live/live.cpp
+++ b/src/emulator/live/live.cpp
@@ -120,9 +120,9 @@
     }
     start_part("clients", run_clients, for_s);
     await_part(1);
-    loop_.turn(0);
+    loop_.run_once(0);
     begun_ = loop_.now() + kBeginsAfter;
-    const TimePoint steady = begun_ - loop_.of_steady(0);
+    const TimePoint steady = begun_ - loop_.from_steady(0);
     for (const auto& go : goes_) {
       if (write(go->to, &steady, sizeof steady) != sizeof steady) {
         throw RunFailed("a part of the rig has ended");
@@ -236,8 +236,8 @@
   }
 
   void turn() {
-    loop_.turn(20 * kMs);
-    late_ = std::max(late_, loop_.late());
+    loop_.run_once(20 * kMs);
+    late_ = std::max(late_, loop_.lateness());
     if (interrupted) {
       throw RunFailed("interrupted; all that was started has been ended");
     }
@@ -330,9 +330,9 @@
     away_[static_cast<std::size_t>(n)] = false;
   }
 
-  void once(double at_s, EventLoop::Due due) {
+  void once(double at_s, EventLoop::DueCallback due) {
     EventLoop::Deadline one;
-    loop_.at(one, begun_ + static_cast<Duration>(at_s * kSecond), std::move(due));
+    loop_.schedule(one, begun_ + static_cast<Duration>(at_s * kSecond), std::move(due));
   }
   TimePoint now() const { return loop_.now() - begun_; }
 
@@ -386,7 +386,7 @@
   }
 
   void sample() {
-    loop_.at(sampled_, loop_.now() + kSampleEvery, [this] { sample(); });
+    loop_.schedule(sampled_, loop_.now() + kSampleEvery, [this] { sample(); });
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       if (away(n) || !nodes_[n].running()) {
         continue;
--- a/src/emulator/live/rig_process.cpp
+++ b/src/emulator/live/rig_process.cpp
@@ -29,8 +29,8 @@
 
 bool LoopbackAddresses::take(Socket& held) const {
   Socket made(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const sockaddr_in at = *address_of(fmt::format("127.{}.255.254:7999", net));
-  if (!made || bind(made.number(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
+  const sockaddr_in at = *parse_address(fmt::format("127.{}.255.254:7999", net));
+  if (!made || bind(made.descriptor(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
     return false;
   }
   held = std::move(made);
@@ -38,7 +38,7 @@
 }
 
 void listen_or_throw(const std::string& address, Socket& socket) {
-  if (const auto error = listen_at(*address_of(address), socket)) {
+  if (const auto error = listen_on(*parse_address(address), socket)) {
     throw std::runtime_error("cannot listen at " + address + ": " + *error);
   }
 }
@@ -47,7 +47,7 @@
                        ParentChannel parent)
     : scenario_(scenario), plan_(plan), addresses_(addresses), parent_(std::move(parent)) {}
 
-void RigProcess::once(TimePoint when, EventLoop::Due due) {
+void RigProcess::once(TimePoint when, EventLoop::DueCallback due) {
   EventLoop::Deadline deadline;
   at(deadline, when, std::move(due));
 }
@@ -59,11 +59,11 @@
 }
 
 void RigProcess::watch_lateness() {
-  loop_.at(lateness_check_, loop_.now() + kTurnLimit, [this] { watch_lateness(); });
-  if (loop_.late() <= worst_lateness_) {
+  loop_.schedule(lateness_check_, loop_.now() + kTurnLimit, [this] { watch_lateness(); });
+  if (loop_.lateness() <= worst_lateness_) {
     return;
   }
-  worst_lateness_ = loop_.late();
+  worst_lateness_ = loop_.lateness();
   record(Seen::late, "", static_cast<long>(worst_lateness_));
 }
 
@@ -76,7 +76,7 @@
     }
     prepare();
     while (!prepared()) {
-      loop_.turn(kTurnLimit);
+      loop_.run_once(kTurnLimit);
     }
     if (!await_beginning()) {
       return 1;
@@ -97,16 +97,16 @@
   if (read(parent_.go, &begun, sizeof begun) != sizeof begun) {
     return false;
   }
-  begun_ = loop_.of_steady(begun);
+  begun_ = loop_.from_steady(begun);
   return true;
 }
 
 void RigProcess::play(double for_s) {
-  loop_.turn(0);
+  loop_.run_once(0);
   begin();
   watch_lateness();
   while (now() < from_seconds(for_s)) {
-    loop_.turn(kTurnLimit);
+    loop_.run_once(kTurnLimit);
   }
   end();
   records_.write(parent_.file);
--- a/src/emulator/live/rig_process.h
+++ b/src/emulator/live/rig_process.h
@@ -60,13 +60,13 @@
   TimePoint now() const { return loop_.now() - begun_; }
   /// The time of the run at this very moment. Records carry it: with the turn's time, what is read late in a
   /// turn would seem to come before what another process saw first.
-  TimePoint stamp() const { return loop_.of_steady(EventLoop::steady_now()) - begun_; }
+  TimePoint stamp() const { return loop_.from_steady(EventLoop::steady_now()) - begun_; }
   /// Runs `due` at a time of the run, in place of what the deadline stood for.
-  void at(EventLoop::Deadline& deadline, TimePoint when, EventLoop::Due due) {
-    loop_.at(deadline, begun_ + when, std::move(due));
+  void at(EventLoop::Deadline& deadline, TimePoint when, EventLoop::DueCallback due) {
+    loop_.schedule(deadline, begun_ + when, std::move(due));
   }
   /// Runs `due` at a time of the run.
-  void once(TimePoint when, EventLoop::Due due);
+  void once(TimePoint when, EventLoop::DueCallback due);
   /// Records what has been seen at this moment.
   void record(Seen kind, const std::string& id, long a = 0, long b = 0, long c = 0) {
     records_.add(stamp(), kind, id, a, b, c);
--- a/src/emulator/sim/baseline_policy.cpp
+++ b/src/emulator/sim/baseline_policy.cpp
@@ -172,7 +172,7 @@
                     static_cast<double>(request.tried.size()) >= settings_.max_attempts;
   const std::string endpoint = over ? "" : select_endpoint(request);
   if (endpoint.empty()) {
-    const double retry_after = static_cast<double>(settings_.max_retry_after) * random_.share();
+    const double retry_after = static_cast<double>(settings_.max_retry_after) * random_.next_fraction();
     actions_.push_back(RejectRequest{request_id, static_cast<Duration>(retry_after)});
     requests_.erase(request_id);
     return;
@@ -217,7 +217,7 @@
     case EndpointOrder::random:
       break;
   }
-  return tried_before + kOtherZone * other_zone + random_.share();
+  return tried_before + kOtherZone * other_zone + random_.next_fraction();
 }
 
 double BaselinePolicy::rank_on_ring(const HeldRequest& request, const std::string& id,
--- a/src/gossip/peer_load_table.cpp
+++ b/src/gossip/peer_load_table.cpp
@@ -67,7 +67,7 @@
   last_sent_ = counts;
   next_send_after_change_ = now + kMinIntervalAfterChange;
   // Without the random factor, nodes that start together would all send at the same moments.
-  const double interval = static_cast<double>(kMeanInterval) * (0.5 + random_.share());
+  const double interval = static_cast<double>(kMeanInterval) * (0.5 + random_.next_fraction());
   next_send_ = now + static_cast<Duration>(interval);
   return others;
 }
--- a/src/node/byte_relay.cpp
+++ b/src/node/byte_relay.cpp
@@ -133,11 +133,11 @@
 
 void ByteRelay::on_host_line(Handle handle, ProxiedConnection& connection) {
   RelayState& relay = connection.relay;
-  relay.last_line = word_of(relay.partial_line);
-  if (relay.last_line == Word::load) {
-    return owner_.on_load_reported(handle, load_of(relay.partial_line));
+  relay.last_line = line_type_of(relay.partial_line);
+  if (relay.last_line == LineType::load) {
+    return owner_.on_load_reported(handle, parse_load(relay.partial_line));
   }
-  if (relay.last_line == Word::bye || relay.last_line == Word::move || !relay.request_sent_at) {
+  if (relay.last_line == LineType::bye || relay.last_line == LineType::move || !relay.request_sent_at) {
     return;
   }
   const TimePoint sent_at = *std::exchange(relay.request_sent_at, std::nullopt);
@@ -162,8 +162,8 @@
 void ByteRelay::want_events(const ProxiedConnection& connection) {
   const Peer& client = connection.client;
   const Peer& host = connection.host;
-  loop_.want(client.watched, events_of(client, host, sendable_to_client(connection) > 0));
-  loop_.want(host.watched, events_of(host, client, !host.pending.empty()));
+  loop_.update_interest(client.watched, events_of(client, host, sendable_to_client(connection) > 0));
+  loop_.update_interest(host.watched, events_of(host, client, !host.pending.empty()));
 }
 
 // Returns false when the client's connection is broken.
@@ -204,14 +204,14 @@
 void ByteRelay::pass_on_close(Peer& receiver, const Peer& sender) {
   if (sender.read_closed && receiver.pending.empty() && !receiver.write_closed) {
     receiver.write_closed = true;
-    receiver.socket.finish();
+    receiver.socket.shut_down_sending();
   }
 }
 
 // A host that cannot be reached from here may live and answer others, so the client is migrated; cut off
 // without MOVE it would not reconnect. What the host itself has reset ends on the client's side alike.
 void ByteRelay::on_host_broken(Handle handle, ProxiedConnection& connection) {
-  if (!is_way_broken(errno) || connection.client.write_closed) {
+  if (!is_path_broken(errno) || connection.client.write_closed) {
     return reset_other(handle, connection, connection.client);
   }
   owner_.on_host_unreachable(handle, connection);
@@ -219,16 +219,16 @@
 
 // One side is broken: the other gets the bytes that are pending for it, then a reset.
 void ByteRelay::reset_other(Handle handle, ProxiedConnection& connection, Peer& other) {
-  other.socket.send_whole(other.pending);
-  other.socket.abort();
+  other.socket.send_without_waiting(other.pending);
+  other.socket.close_with_reset();
   owner_.on_finished(handle, connection);
 }
 
 TerminationReason ByteRelay::termination_reason(const ProxiedConnection& connection) {
-  if (connection.relay.last_line == Word::bye) {
+  if (connection.relay.last_line == LineType::bye) {
     return TerminationReason::completed;
   }
-  if (connection.relay.last_line == Word::move) {
+  if (connection.relay.last_line == LineType::move) {
     return TerminationReason::migrated;
   }
   if (connection.relay.client_closed_first) {
@@ -242,7 +242,7 @@
     return;
   }
   const Duration timeout = connection.host.read_closed ? kHostClosedTimeout : kHalfClosedTimeout;
-  loop_.at(connection.deadline, loop_.now() + timeout, [this, handle] { linger_ended(handle); });
+  loop_.schedule(connection.deadline, loop_.now() + timeout, [this, handle] { linger_ended(handle); });
 }
 
 // Half-closed connections that nobody ends would take all descriptors in time.
--- a/src/node/client_admission.cpp
+++ b/src/node/client_admission.cpp
@@ -28,20 +28,20 @@
     prefix.erase(0, end + 1);
     return Ping{};
   }
-  Opened opened = opening_of(line, schema_);
-  if (!opened.opening) {
+  ParsedRequestLine opened = parse_request_line(line, schema_);
+  if (!opened.request_line) {
     return MalformedRequest{opened.fault};
   }
   // Hosts reject a request whose id is open already, and would then look unhealthy. Ids are new with every
   // connection, so one that was open lately is refused as well.
-  if (is_taken(opened.opening->id)) {
+  if (is_taken(opened.request_line->id)) {
     return MalformedRequest{"an id that is taken"};
   }
   if (end + 1 < prefix.size()) {
     return MalformedRequest{"more behind it"};
   }
-  open_ids_.insert(opened.opening->id);
-  return std::move(*opened.opening);
+  open_ids_.insert(opened.request_line->id);
+  return std::move(*opened.request_line);
 }
 
 bool ClientAdmission::is_taken(const std::string& id) const {
--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -225,10 +225,10 @@
   to.name = required_text(from, source, "PROXY_NAME", "name");
   to.listen = required_text(from, source, "PROXY_LISTEN", "listen");
   to.discovery = required_text(from, source, "PROXY_DISCOVERY", "discovery");
-  if (!address_of(to.listen)) {
+  if (!parse_address(to.listen)) {
     throw std::runtime_error("'listen' is no address: " + to.listen);
   }
-  if (!address_of(to.discovery)) {
+  if (!parse_address(to.discovery)) {
     throw std::runtime_error("'discovery' is no address: " + to.discovery);
   }
   if (!from.contains("settings") || !from["settings"].is_object()) {
@@ -240,7 +240,7 @@
   if (from.contains("known")) {
     to.known = from["known"];
   }
-  to.descriptors = static_cast<int>(limit_of(from, "sockets", 4 * kKeptBack, to.descriptors));
+  to.descriptors = static_cast<int>(limit_of(from, "sockets", 4 * kReservedDescriptors, to.descriptors));
   to.memory_mb = limit_of(from, "memory_mb", 1, to.memory_mb);
   to.peers = peers_of(from, to.env);
   return to;
--- a/src/node/connection_table.cpp
+++ b/src/node/connection_table.cpp
@@ -35,17 +35,17 @@
 
 void ConnectionTable::on_accepted(Socket client) {
   if (admission_.silent_clients_exceed_share(loop_.now()) ||
-      Socket::short_of(limits_.descriptors, kKeptBack / 2)) {
+      Socket::is_short_of_descriptors(limits_.descriptors, kReservedDescriptors / 2)) {
     evict_longest_silent();
   }
   // The last descriptors are kept to answer clients; without them a client would hang unanswered.
-  if (Socket::short_of(limits_.descriptors, kKeptBack / 2)) {
+  if (Socket::is_short_of_descriptors(limits_.descriptors, kReservedDescriptors / 2)) {
     return reject_for_descriptors(client, counters_);
   }
-  const int descriptor = client.number();
+  const int descriptor = client.descriptor();
   ProxiedConnection opened;
   opened.client.socket = std::move(client);
-  const Handle handle = connections_.add(std::move(opened));
+  const Handle handle = connections_.insert(std::move(opened));
   ProxiedConnection& connection = *connections_.find(handle);
   connection.client.watched = loop_.watch(descriptor, POLLIN, [this, handle](short) {
     contain_faults(handle, &ConnectionTable::on_client_ready);
@@ -65,14 +65,14 @@
       continue;
     }
     ++counters_.silent_clients_evicted;
-    connections_.find(*handle)->client.socket.send_whole("BUSY\r\n");
+    connections_.find(*handle)->client.socket.send_without_waiting("BUSY\r\n");
     return drop(*handle);
   }
 }
 
 void ConnectionTable::start_greeting_deadline(Handle handle, ProxiedConnection& connection,
                                               Duration timeout) {
-  loop_.at(connection.deadline, loop_.now() + timeout, [this, handle] {
+  loop_.schedule(connection.deadline, loop_.now() + timeout, [this, handle] {
     ProxiedConnection* late = connections_.find(handle);
     if (late && !late->client_prefix.empty()) {
       refuse(handle, *late, "half a line");
@@ -167,7 +167,7 @@
 
 void ConnectionTable::answer_ping(Handle handle, ProxiedConnection& connection) {
   ++counters_.pings_answered;
-  connection.client.socket.send_whole("PONG\r\n");
+  connection.client.socket.send_without_waiting("PONG\r\n");
   start_greeting_deadline(handle, connection, kPingedTimeout);
   admission_.remove_silent(handle);
   admission_.add_silent(handle, loop_.now());
@@ -205,7 +205,7 @@
 }
 
 void ConnectionTable::shorten_attempts(TimePoint deadline) {
-  connections_.each(
+  connections_.for_each(
       [&](Handle handle, ProxiedConnection& connection) { attempts_.shorten(handle, connection, deadline); });
 }
 
@@ -301,7 +301,8 @@
   RelayState& relay = connection->relay;
   if (relay.mid_line && !relay.migration_pending) {  // MOVE within a line would be a part of that line
     relay.migration_pending = true;
-    return loop_.at(connection->deadline, loop_.now() + kClosingTimeout, [this, handle] { drop(handle); });
+    return loop_.schedule(connection->deadline, loop_.now() + kClosingTimeout,
+                          [this, handle] { drop(handle); });
   }
   connection->attempt.active = false;
   connection->client.pending.resize(relay.complete_bytes);
@@ -316,7 +317,7 @@
   connection.client_prefix = {};
   connection.request.line = {};
   connection.client.pending += line;
-  loop_.at(connection.deadline, loop_.now() + kClosingTimeout, [this, handle] { drop(handle); });
+  loop_.schedule(connection.deadline, loop_.now() + kClosingTimeout, [this, handle] { drop(handle); });
   send_last_bytes(handle, connection);
 }
 
@@ -331,12 +332,12 @@
   }
   if (client.pending.empty() && !client.write_closed) {
     client.write_closed = true;
-    client.socket.finish();
+    client.socket.shut_down_sending();
   }
   if (client.pending.empty() && client.read_closed) {
     return drop(handle);
   }
-  loop_.want(client.watched, client.pending.empty() ? POLLIN : POLLIN | POLLOUT);
+  loop_.update_interest(client.watched, client.pending.empty() ? POLLIN : POLLIN | POLLOUT);
 }
 
 // A client that goes on sending is cut off after a bounded number of bytes: reading them costs turns.
@@ -361,12 +362,12 @@
   loop_.unwatch(connection->host.watched);
   admission_.remove_silent(handle);
   admission_.release(connection->request.id);
-  connections_.drop(handle);
+  connections_.erase(handle);
 }
 
 std::size_t ConnectionTable::busy() {
   std::size_t count = 0;
-  connections_.each([&](Handle, const ProxiedConnection& connection) {
+  connections_.for_each([&](Handle, const ProxiedConnection& connection) {
     const bool idle = connection.phase == Phase::greeting && connection.client_prefix.empty();
     count += idle ? 0 : 1;
   });
--- a/src/node/connection_table.h
+++ b/src/node/connection_table.h
@@ -67,7 +67,7 @@
   /// for an answer to a line; 0 when it does not wait.
   template <class Visit>
   void each_established(Visit visit) {
-    connections_.each([&](Handle handle, const ProxiedConnection& connection) {
+    connections_.for_each([&](Handle handle, const ProxiedConnection& connection) {
       if (connection.phase == Phase::established) {
         visit(handle, loop_.now() - connection.relay.request_sent_at.value_or(loop_.now()));
       }
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -139,12 +139,12 @@
   call_in_progress_ = true;
   ++counters_.endpoint_list_calls;
   spdlog::debug("endpoint_list_called target={}", target);
-  request_ = get_request(address_, target);
+  request_ = format_get_request(address_, target);
   called_at_ = loop_.now();
   reused_ = static_cast<bool>(socket_);
   sent_ = 0;
   received_.clear();
-  loop_.at(deadline_, loop_.now() + timeout, [this, waits] {
+  loop_.schedule(deadline_, loop_.now() + timeout, [this, waits] {
     if (waits) {
       notified_by_ = called_at_ + kNotifiedAfterSilence;
       watch_hung_ = true;
@@ -155,25 +155,26 @@
   if (!socket_) {
     return connect();
   }
-  loop_.want(watched_, POLLIN | POLLOUT);
+  loop_.update_interest(watched_, POLLIN | POLLOUT);
   on_ready();
 }
 
 void EndpointDiscovery::connect() {
-  const auto address = address_of(address_);
+  const auto address = parse_address(address_);
   connected_ = false;
   sent_ = 0;
   received_.clear();
-  if (!address || dial(*address, limits_.descriptors, kLastOnes, socket_) != Dial::begun) {
+  if (!address || start_connecting(*address, limits_.descriptors, kReservedFromDiscovery, socket_) !=
+                      ConnectStart::in_progress) {
     // Reported in a turn of its own: the caller may be amid its own work.
-    return loop_.at(deadline_, loop_.now(), [this] { on_broken(false); });
+    return loop_.schedule(deadline_, loop_.now(), [this] { on_broken(false); });
   }
-  watched_ = loop_.watch(socket_.number(), POLLOUT, [this](short) { on_ready(); });
+  watched_ = loop_.watch(socket_.descriptor(), POLLOUT, [this](short) { on_ready(); });
 }
 
 void EndpointDiscovery::on_ready() {
   if (!connected_) {
-    if (!socket_.connected()) {
+    if (!socket_.is_connected()) {
       return on_broken(false);
     }
     connected_ = true;
@@ -182,7 +183,7 @@
     return on_broken(reused_);
   }
   const bool sending = call_in_progress_ && sent_ < request_.size();
-  loop_.want(watched_, sending ? POLLIN | POLLOUT : POLLIN);
+  loop_.update_interest(watched_, sending ? POLLIN | POLLOUT : POLLIN);
   receive_answer();
 }
 
@@ -214,12 +215,12 @@
   if (*received == 0 && !closed) {
     return;
   }
-  const Answer answer = answer_of(received_, closed, limits_.list_bytes);
-  if (answer.state == Answer::State::more) {
+  const HttpResponse answer = parse_response(received_, closed, limits_.list_bytes);
+  if (answer.state == HttpResponse::State::more) {
     return;
   }
-  if (answer.state == Answer::State::bad || answer.status != kHttpOk) {
-    spdlog::warn("endpoint_list_refused http={} status={}", answer.state != Answer::State::bad,
+  if (answer.state == HttpResponse::State::bad || answer.status != kHttpOk) {
+    spdlog::warn("endpoint_list_refused http={} status={}", answer.state != HttpResponse::State::bad,
                  answer.status);
     return on_broken(false);
   }
@@ -260,7 +261,7 @@
   ++counters_.endpoint_lists;
   // A service that answers without waiting would be called without end.
   if (!has_news && loop_.now() - called_at_ < kRepeatDelay) {
-    loop_.at(deadline_, loop_.now() + kRepeatDelay, [this] { call_next(); });
+    loop_.schedule(deadline_, loop_.now() + kRepeatDelay, [this] { call_next(); });
   } else {
     call_next();  // first: a watch goes on only if its next call comes soon
   }
@@ -282,8 +283,8 @@
   // that drains would be sent to meanwhile. All nodes' watches fall silent together, hence the random part.
   if (notified_by_ && loop_.now() < *notified_by_) {
     const bool at_once = std::exchange(retry_at_once_, false);
-    const auto delay = static_cast<Duration>(kRetryDelay * (0.5 + random_.share() / 2));
-    return loop_.at(deadline_, loop_.now() + (at_once ? 0 : delay), [this] { call_next(); });
+    const auto delay = static_cast<Duration>(kRetryDelay * (0.5 + random_.next_fraction() / 2));
+    return loop_.schedule(deadline_, loop_.now() + (at_once ? 0 : delay), [this] { call_next(); });
   }
   notified_by_.reset();
   watching_ = false;
--- a/src/node/gossip_socket.cpp
+++ b/src/node/gossip_socket.cpp
@@ -22,12 +22,12 @@
 GossipSocket::GossipSocket(EventLoop& loop, Counters& counters, const PeerSettings& settings,
                            std::uint64_t seed)
     : loop_(loop), counters_(counters), loads_(static_cast<int>(settings.peers.size()), settings.me, seed) {
-  const auto at = address_of(settings.listen);
+  const auto at = parse_address(settings.listen);
   if (!at || settings.peers.size() < 2) {
     return;
   }
   for (const std::string& peer : settings.peers) {
-    addresses_.push_back(address_of(peer).value_or(sockaddr_in{}));
+    addresses_.push_back(parse_address(peer).value_or(sockaddr_in{}));
   }
   listen_ = *at;
   open();
@@ -37,7 +37,8 @@
 void GossipSocket::open() {
   opened_at_ = loop_.now();
   Socket socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!socket || bind(socket.number(), reinterpret_cast<const sockaddr*>(&*listen_), sizeof *listen_) != 0) {
+  if (!socket ||
+      bind(socket.descriptor(), reinterpret_cast<const sockaddr*>(&*listen_), sizeof *listen_) != 0) {
     const int error = errno;
     if (!std::exchange(failure_logged_, true)) {
       spdlog::warn("gossip_unavailable error={}", error);
@@ -45,7 +46,7 @@
     return;
   }
   socket_ = std::move(socket);
-  loop_.watch(socket_.number(), POLLIN, [this](short) { read(); });
+  loop_.watch(socket_.descriptor(), POLLIN, [this](short) { read(); });
 }
 
 void GossipSocket::tell(const PeerLoadTable::Counts& counts) {
@@ -65,7 +66,7 @@
   for (const int peer : peers) {
     const sockaddr_in& to = addresses_[static_cast<std::size_t>(peer)];
     // A message that the system does not take is lost like one on the way: the next one carries it all.
-    if (sendto(socket_.number(), message.data(), message.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
+    if (sendto(socket_.descriptor(), message.data(), message.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
                reinterpret_cast<const sockaddr*>(&to), sizeof to) >= 0) {
       ++counters_.gossip_sent;
     }
@@ -87,7 +88,7 @@
   for (int i = 0; i < kMessagesPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t from_size = sizeof from;
-    const ssize_t size = recvfrom(socket_.number(), bytes, sizeof bytes, MSG_DONTWAIT | MSG_TRUNC,
+    const ssize_t size = recvfrom(socket_.descriptor(), bytes, sizeof bytes, MSG_DONTWAIT | MSG_TRUNC,
                                   reinterpret_cast<sockaddr*>(&from), &from_size);
     if (size < 0) {
       return;
--- a/src/node/health_checker.cpp
+++ b/src/node/health_checker.cpp
@@ -11,27 +11,27 @@
 const std::string kPing = "PING\r\n";
 constexpr Duration kAnswerTime = 50 * kMs;  // for the answer, beyond the time to connect
 
-TerminationReason reason_of(Dial dialled) {
+TerminationReason reason_of(ConnectStart dialled) {
   switch (dialled) {
-    case Dial::no_descriptor:
+    case ConnectStart::no_descriptor:
       return TerminationReason::no_descriptor;
-    case Dial::local_failure:
+    case ConnectStart::local_failure:
       return TerminationReason::local_failure;
-    case Dial::refused:
-    case Dial::begun:
+    case ConnectStart::refused:
+    case ConnectStart::in_progress:
       break;
   }
   return TerminationReason::connection_broken;
 }
 
-TerminationReason reason_of(Word answer) {
-  if (answer == Word::pong) {
+TerminationReason reason_of(LineType answer) {
+  if (answer == LineType::pong) {
     return TerminationReason::completed;
   }
-  if (answer == Word::error) {
+  if (answer == LineType::error) {
     return TerminationReason::error;
   }
-  return answer == Word::busy ? TerminationReason::busy : TerminationReason::malformed_answer;
+  return answer == LineType::busy ? TerminationReason::busy : TerminationReason::malformed_answer;
 }
 
 bool keeps_connection(TerminationReason reason) {
@@ -53,7 +53,7 @@
   probe.began_at = loop_.now();
   probe.sent = 0;
   probe.received.clear();
-  loop_.at(probe.deadline, loop_.now() + limits_.connect_time + kAnswerTime, [this, host] {
+  loop_.schedule(probe.deadline, loop_.now() + limits_.connect_time + kAnswerTime, [this, host] {
     const auto found = probes_.find(host);
     if (found != probes_.end()) {
       end(host, found->second, TerminationReason::timed_out);
@@ -68,7 +68,7 @@
   if (!probe.socket) {
     return connect(host, probe);
   }
-  loop_.want(probe.watched, POLLIN | POLLOUT);
+  loop_.update_interest(probe.watched, POLLIN | POLLOUT);
 }
 
 // Connections kept to machines that are gone without a word would add up.
@@ -85,13 +85,14 @@
   probe.progress = AttemptProgress::not_connected;
   probe.reused = false;
   probe.sent = 0;
-  const auto address = address_of(probe.address);
-  const Dial dialled =
-      address ? dial(*address, limits_.descriptors, kProbesLeave, probe.socket) : Dial::refused;
-  if (dialled != Dial::begun) {
+  const auto address = parse_address(probe.address);
+  const ConnectStart dialled =
+      address ? start_connecting(*address, limits_.descriptors, kReservedFromHealthChecks, probe.socket)
+              : ConnectStart::refused;
+  if (dialled != ConnectStart::in_progress) {
     return end(host, probe, reason_of(dialled));
   }
-  probe.watched = loop_.watch(probe.socket.number(), POLLOUT, [this, host](short) { on_ready(host); });
+  probe.watched = loop_.watch(probe.socket.descriptor(), POLLOUT, [this, host](short) { on_ready(host); });
 }
 
 void HealthChecker::on_ready(const std::string& host) {
@@ -101,7 +102,7 @@
   }
   Probe& probe = found->second;
   if (probe.progress == AttemptProgress::not_connected) {
-    if (!probe.socket.connected()) {
+    if (!probe.socket.is_connected()) {
       return end(host, probe, TerminationReason::connection_broken);
     }
     probe.progress = AttemptProgress::partly_written;
@@ -112,7 +113,7 @@
     return on_connection_ended(host, probe, closed);
   }
   const bool sending = probe.in_progress && probe.sent < kPing.size();
-  loop_.want(probe.watched, sending ? POLLIN | POLLOUT : POLLIN);
+  loop_.update_interest(probe.watched, sending ? POLLIN | POLLOUT : POLLIN);
   read_answer(host, probe);
 }
 
@@ -150,7 +151,7 @@
     }
     return;
   }
-  const Word answer = word_of(std::string_view(probe.received).substr(0, line_end + 1));
+  const LineType answer = line_type_of(std::string_view(probe.received).substr(0, line_end + 1));
   probe.received.erase(0, line_end + 1);
   end(host, probe, reason_of(answer));
 }
--- a/src/node/listener.cpp
+++ b/src/node/listener.cpp
@@ -31,10 +31,10 @@
       spare_(open_spare()) {}
 
 std::optional<std::string> Listener::listen(const sockaddr_in& address) {
-  if (auto fault = listen_at(address, socket_)) {
+  if (auto fault = listen_on(address, socket_)) {
     return fault;
   }
-  watched_ = loop_.watch(socket_.number(), POLLIN, [this](short) { accept_ready(); });
+  watched_ = loop_.watch(socket_.descriptor(), POLLIN, [this](short) { accept_ready(); });
   return std::nullopt;
 }
 
@@ -46,7 +46,7 @@
 
 void Listener::accept_ready() {
   for (int i = 0; i < kAcceptsPerTurn; ++i) {
-    Socket client(accept4(socket_.number(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    Socket client(accept4(socket_.descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!client) {
       const int error = errno;
       if (error == ECONNABORTED || error == EINTR) {
@@ -61,7 +61,7 @@
     failing_since_.reset();
     ++counters_.clients_accepted;
     const int on = 1;
-    setsockopt(client.number(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    setsockopt(client.descriptor(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     on_accepted_(std::move(client));
   }
 }
@@ -77,13 +77,13 @@
     }
   }
   const bool lasting = loop_.now() - *failing_since_ >= kRejectAfter;
-  const bool none_left = Socket::short_of(limits_.descriptors, 0);
+  const bool none_left = Socket::is_short_of_descriptors(limits_.descriptors, 0);
   if ((error == EMFILE || error == ENFILE) && (lasting || none_left) && reject_one()) {
     return;
   }
-  loop_.want(watched_, 0);  // poll would return at once for a client that cannot be accepted
-  loop_.at(retry_, loop_.now() + kRetryDelay, [this] {
-    loop_.want(watched_, POLLIN);
+  loop_.update_interest(watched_, 0);  // poll would return at once for a client that cannot be accepted
+  loop_.schedule(retry_, loop_.now() + kRetryDelay, [this] {
+    loop_.update_interest(watched_, POLLIN);
     accept_ready();
   });
 }
@@ -91,7 +91,7 @@
 // Gives up the spare descriptor for a moment. Returns whether there was a client to reject.
 bool Listener::reject_one() {
   spare_.close();
-  Socket client(accept4(socket_.number(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+  Socket client(accept4(socket_.descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   const bool any = static_cast<bool>(client);
   if (any) {
     reject_for_descriptors(client, counters_);
@@ -103,8 +103,8 @@
 
 void reject_for_descriptors(const Socket& client, Counters& counters) {
   ++counters.clients_rejected_without_descriptor;
-  client.send_whole("BUSY\r\n");
-  client.finish();
+  client.send_without_waiting("BUSY\r\n");
+  client.shut_down_sending();
 }
 
 }  // namespace dapplewharf
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -125,7 +125,7 @@
     throw std::runtime_error(first.fault);
   }
   first.taken->descriptors = descriptor_limit(first.taken->descriptors);
-  set_log(first.taken->log);
+  configure_logging(first.taken->log);
   EventLoop loop;
   Node node(loop, std::move(*first.taken));
   Reloader reloader(loop, node, files);
@@ -135,7 +135,7 @@
   }
   spdlog::info("started");
   while (!node.done()) {
-    loop.turn(kSecond);
+    loop.run_once(kSecond);
     node.settle();
   }
   node.report();
@@ -150,7 +150,7 @@
   if (command.exit_code) {
     return *command.exit_code;
   }
-  open_log();
+  start_logging();
   try {
     return serve(command.files);
   } catch (const std::exception& error) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -68,7 +68,7 @@
   settle();
   subscribe();
   sample();
-  const auto address = address_of(configuration_.listen);
+  const auto address = parse_address(configuration_.listen);
   return address ? requests_.listen(*address) : std::string("no address of the form a.b.c.d:port");
 }
 
@@ -98,8 +98,9 @@
     return;
   }
   const Backoff backoff(settings_.policy.node_count, settings_.policy.drain_grace / 2);
-  const Duration delay = discovery_losses_ == 0 ? 0 : backoff.again(discovery_losses_, random_.share());
-  loop_.at(next_subscription_, loop_.now() + delay, [this] { discovery_.watch(); });
+  const Duration delay =
+      discovery_losses_ == 0 ? 0 : backoff.again(discovery_losses_, random_.next_fraction());
+  loop_.schedule(next_subscription_, loop_.now() + delay, [this] { discovery_.watch(); });
 }
 
 void Node::apply_list(const EndpointSnapshot& list) {
@@ -129,7 +130,7 @@
                                .outcome = outcome_of(health_check.result),
                                .duration = health_check.duration,
                                .report = {}});
-  if (health_check.latency > 0 && loop_.late() < kHeldUp) {
+  if (health_check.latency > 0 && loop_.lateness() < kHeldUp) {
     endpoints_.latency(host).record_health_check(loop_.now(), health_check.latency);
   }
 }
@@ -139,12 +140,12 @@
 void Node::sample() {
   const Duration since_last_sample = loop_.now() - sampled_at_;
   sampled_at_ = loop_.now();
-  loop_.at(next_sample_, sampled_at_ + kSampleInterval, [this] { sample(); });
+  loop_.schedule(next_sample_, sampled_at_ + kSampleInterval, [this] { sample(); });
   if (shadow_) {
     run_shadow({}, {});  // its timer may be due
   }
   exchange_gossip();
-  if (loop_.late() >= kHeldUp) {
+  if (loop_.lateness() >= kHeldUp) {
     return;  // after a pause of this process every line seems unanswered
   }
   report_latencies(unanswered_lines(since_last_sample));
@@ -249,8 +250,8 @@
 
 void Node::carry_out(const SetTimer& action) {
   EventLoop::Deadline deadline;  // the load balancer never cancels a timer
-  loop_.at(deadline, loop_.now() + action.delay,
-           [this, timer = action.timer] { events_.add(TimerFired{.timer = timer}); });
+  loop_.schedule(deadline, loop_.now() + action.delay,
+                 [this, timer = action.timer] { events_.add(TimerFired{.timer = timer}); });
 }
 
 void Node::carry_out(const WatchEndpoints&) {
@@ -273,7 +274,7 @@
   }
   events_.add(ShutdownStarted{.answer_by = shutdown_.answers_due()});
   requests_.shorten_to_shutdown();
-  loop_.at(close_requests_, shutdown_.requests_close_at(), [this] { requests_.close_all(); });
+  loop_.schedule(close_requests_, shutdown_.requests_close_at(), [this] { requests_.close_all(); });
   spdlog::info("shutdown_started open_connections={}", requests_.open_connections());
 }
 
@@ -327,7 +328,7 @@
   if (shadow_) {
     shadow_->update_settings(parse_platform_settings(*configuration_.shadow));
   }
-  set_log(configuration_.log);
+  configure_logging(configuration_.log);
   apply_settings();
   discovery_.move_to(configuration_.discovery);
   spdlog::info("configuration_reloaded discovery={}", configuration_.discovery);
--- a/src/node/proxied_connection.h
+++ b/src/node/proxied_connection.h
@@ -36,7 +36,7 @@
 struct RelayState {
   std::optional<TimePoint> request_sent_at;  ///< of the client's first line since the host's last one
   std::string partial_line;                  ///< the start of the host's line that is coming
-  Word last_line = Word::other;              ///< the host's last complete line
+  LineType last_line = LineType::other;      ///< the host's last complete line
   std::size_t complete_bytes = 0;            ///< of the bytes pending for the client, up to the end of a line
   bool mid_line = false;                     ///< the client has the start of a line whose end has not come
   bool migration_pending = false;            ///< to be migrated at the end of that line
--- a/src/node/reload.cpp
+++ b/src/node/reload.cpp
@@ -29,7 +29,7 @@
 void Reloader::read(TimePoint until) {
   const Read found = read_configuration(files_, Source::file_only);
   if (!found.taken && found.unreadable && loop_.now() < until) {
-    return loop_.at(retry_, loop_.now() + kRetryDelay, [this, until] { read(until); });
+    return loop_.schedule(retry_, loop_.now() + kRetryDelay, [this, until] { read(until); });
   }
   loop_.cancel(retry_);
   node_.reload(found);
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -23,7 +23,7 @@
       connections_(context.loop, context.counters, context.limits, context.settings.request_schema, *this) {}
 
 std::string RequestHandler::id_of(Handle handle) {
-  return std::to_string(handle.slot) + "." + std::to_string(handle.life);
+  return std::to_string(handle.slot) + "." + std::to_string(handle.generation);
 }
 
 RequestHandler::Request* RequestHandler::find(Handle handle) {
@@ -76,8 +76,8 @@
   if (shutdown_.in_progress()) {
     attributes.deadline = std::min(attributes.deadline, shutdown_.answers_due());
   }
-  attributes.is_migrated = line.returned;
-  attributes.is_retry = line.repeated;
+  attributes.is_migrated = line.is_migrated;
+  attributes.is_retry = line.is_retry;
   return attributes;
 }
 
@@ -205,7 +205,7 @@
 
 void RequestHandler::on_line_answered(Handle handle, Duration latency) {
   const Request* request = find(handle);
-  if (request && loop_.late() < kHeldUp) {
+  if (request && loop_.lateness() < kHeldUp) {
     endpoints_.latency(request->host).record_line(loop_.now(), latency);
   }
 }
@@ -250,7 +250,7 @@
     return violation;
   }
   ledger_.begun(id, location, loop_.now());
-  connections_.begin_attempt(request.handle, {.address = address_of(endpoints_.address(request.host)),
+  connections_.begin_attempt(request.handle, {.address = parse_address(endpoints_.address(request.host)),
                                               .timeout = timeouts.total,
                                               .connect_timeout = timeouts.connect});
   return std::nullopt;
@@ -355,7 +355,7 @@
   const bool permitted = endpoints_.permits(request.host, EndpointUse::reconnect_later);
   const auto violation =
       ledger_.check_attempt(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
-  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), listed, random_.share());
+  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), listed, random_.next_fraction());
   if (violation || shutdown_.in_progress()) {
     delay.reset();
   }
@@ -366,7 +366,7 @@
   ++counters_.reconnects;
   request.between_attempts = true;
   EventLoop::Deadline retry;  // never cancelled: `reconnect` looks whether it still applies
-  loop_.at(retry, loop_.now() + *delay, [this, handle] { reconnect(handle); });
+  loop_.schedule(retry, loop_.now() + *delay, [this, handle] { reconnect(handle); });
   return true;
 }
 
--- a/src/node/upstream_attempt.cpp
+++ b/src/node/upstream_attempt.cpp
@@ -47,7 +47,7 @@
 
 // Reads what the client has sent by now, or its end. Returns null when that ended the attempt.
 ProxiedConnection* UpstreamAttempts::read_client_first(Handle handle) {
-  if (owner_.find(handle)->client.socket.has_news()) {
+  if (owner_.find(handle)->client.socket.has_input()) {
     owner_.read_client(handle);
   }
   return find_active(handle);
@@ -58,20 +58,21 @@
   if (!connection) {
     return;
   }
-  if (Socket::short_of(limits_.descriptors, kKeptBack)) {
+  if (Socket::is_short_of_descriptors(limits_.descriptors, kReservedDescriptors)) {
     owner_.free_descriptor();
   }
-  switch (dial(target.address, limits_.descriptors, kKeptBack, connection->host.socket)) {
-    case Dial::refused:
+  switch (
+      start_connecting(target.address, limits_.descriptors, kReservedDescriptors, connection->host.socket)) {
+    case ConnectStart::refused:
       return end(handle, *connection, TerminationReason::connection_broken);
-    case Dial::no_descriptor:
+    case ConnectStart::no_descriptor:
       return end(handle, *connection, TerminationReason::no_descriptor);
-    case Dial::local_failure:
+    case ConnectStart::local_failure:
       return retry_connect(handle, *connection, target);
-    case Dial::begun:
+    case ConnectStart::in_progress:
       break;
   }
-  connection->host.watched = loop_.watch(connection->host.socket.number(), POLLOUT,
+  connection->host.watched = loop_.watch(connection->host.socket.descriptor(), POLLOUT,
                                          [this, handle](short) { owner_.on_host_ready(handle); });
   set_timeout(handle, *connection, target.deadline);
 }
@@ -84,7 +85,7 @@
   if (loop_.now() + kConnectRetryDelay >= target.deadline) {
     return end(handle, connection, TerminationReason::local_failure);
   }
-  loop_.at(connection.deadline, loop_.now() + kConnectRetryDelay, [this, handle, target] {
+  loop_.schedule(connection.deadline, loop_.now() + kConnectRetryDelay, [this, handle, target] {
     if (find_active(handle) && may_still_send(handle)) {
       connect(handle, target);
     }
@@ -92,7 +93,7 @@
 }
 
 void UpstreamAttempts::set_timeout(Handle handle, ProxiedConnection& connection, TimePoint when) {
-  loop_.at(connection.deadline, when, [this, handle] {
+  loop_.schedule(connection.deadline, when, [this, handle] {
     if (ProxiedConnection* late = owner_.find(handle)) {
       end(handle, *late, TerminationReason::timed_out);
     }
@@ -130,7 +131,7 @@
 
 // Returns false when the attempt has ended.
 bool UpstreamAttempts::begin_sending(Handle handle, ProxiedConnection& connection) {
-  if (!connection.host.socket.connected()) {
+  if (!connection.host.socket.is_connected()) {
     end(handle, connection, TerminationReason::connection_broken);
     return false;
   }
@@ -156,7 +157,7 @@
     connection.attempt.progress = AttemptProgress::written;
     ++counters_.attempts_written;
   }
-  loop_.want(host.watched, host.pending.empty() ? POLLIN : POLLIN | POLLOUT);
+  loop_.update_interest(host.watched, host.pending.empty() ? POLLIN : POLLIN | POLLOUT);
   return true;
 }
 
@@ -181,14 +182,14 @@
 void UpstreamAttempts::take_answer(Handle handle, ProxiedConnection& connection, std::size_t answer_bytes,
                                    bool host_closed) {
   const std::string_view line = std::string_view(connection.attempt.answer).substr(0, answer_bytes);
-  const Word word = word_of(line);
-  if (word == Word::busy) {
+  const LineType word = line_type_of(line);
+  if (word == LineType::busy) {
     return end(handle, connection, TerminationReason::busy);
   }
-  if (word == Word::error) {
+  if (word == LineType::error) {
     return end(handle, connection, TerminationReason::error);
   }
-  if (word != Word::up || connection.attempt.progress != AttemptProgress::written) {
+  if (word != LineType::up || connection.attempt.progress != AttemptProgress::written) {
     if (log_limit_.allow()) {
       spdlog::warn("malformed_answer line=\"{}\"",
                    line.substr(0, std::min(answer_bytes - 1, kLoggedAnswerBytes)));
--- a/src/policy/endpoint.cpp
+++ b/src/policy/endpoint.cpp
@@ -57,7 +57,7 @@
 Endpoint::Endpoint(PolicyContext& context, std::string id)
     : context_(context),
       id_(std::move(id)),
-      check_schedule_(context.settings, context.now, context.random.share()),
+      check_schedule_(context.settings, context.now, context.random.next_fraction()),
       latency_(context.settings),
       slow_start_(context.settings, id_),
       rate_limit_(context.settings) {}
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -84,7 +84,7 @@
   const TimePoint now = context_.now;
   const int parts =
       fleet.is_isolated ? 1 + static_cast<int>(query.group_connections / fleet.connections_per_endpoint) : 1;
-  const int part = parts > 1 ? static_cast<int>(context_.random.share() * parts) : 0;
+  const int part = parts > 1 ? static_cast<int>(context_.random.next_fraction() * parts) : 0;
   const auto used_points = [is_mid_connection](const EndpointStatus& status) {
     return static_cast<int>(std::lround((is_mid_connection ? 1 : status.weight) * point_count(status)));
   };
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -25,7 +25,7 @@
 
 void EndpointSet::handle(const EndpointsCached& message) {
   replace_list(message.endpoints);
-  list_watch_.started_from_cache(context_.now, context_.random.share());
+  list_watch_.started_from_cache(context_.now, context_.random.next_fraction());
   ask_for_list();
 }
 
@@ -40,7 +40,7 @@
 }
 
 void EndpointSet::handle(const EndpointWatchFailed& /*message*/) {
-  list_watch_.failed(context_.now, context_.random.share());
+  list_watch_.failed(context_.now, context_.random.next_fraction());
 }
 
 void EndpointSet::handle(const ShutdownStarted& /*message*/) {
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -334,7 +334,7 @@
   }
   const Settings& settings = context_.settings;
   const auto longest = static_cast<double>(settings.retry_after_allowed ? settings.max_retry_after : 0);
-  const double share = kLeastRetryAfterShare + (1 - kLeastRetryAfterShare) * context_.random.share();
+  const double share = kLeastRetryAfterShare + (1 - kLeastRetryAfterShare) * context_.random.next_fraction();
   context_.act(RejectRequest{id, static_cast<Duration>(longest * share)});
 }
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -89,7 +89,7 @@
   const double expected = std::max(conditions.selections_per_size * conditions.size * concentration,
                                    conditions.group_selections) *
                           window / kSelectionWindow;
-  return random.share() * expected < budget;
+  return random.next_fraction() * expected < budget;
 }
 
 }  // namespace dapplewharf
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -74,24 +74,24 @@
 
 /// Reads a chunked body. The chunks are copied only once all have come; otherwise every piece that arrives
 /// would copy a long body anew.
-void read_chunks(std::string_view rest, std::size_t largest, Answer& answer) {
+void read_chunks(std::string_view rest, std::size_t largest, HttpResponse& answer) {
   std::string_view line;
   std::size_t size = 0;
   std::size_t total = 0;
   std::vector<std::string_view> chunks;
   while (line_of(rest, line)) {
     if (!number_of(line.substr(0, line.find(';')), kHexadecimal, largest, size)) {
-      answer.state = Answer::State::bad;
+      answer.state = HttpResponse::State::bad;
       return;
     }
     total += size;
     if (total > largest) {
-      answer.state = Answer::State::bad;
+      answer.state = HttpResponse::State::bad;
       return;
     }
     if (size == 0) {
       if (skip_trailers(rest)) {
-        answer.state = Answer::State::done;
+        answer.state = HttpResponse::State::done;
         answer.closes = answer.closes || !rest.empty();
         answer.body = concatenated(chunks, total);
       }
@@ -116,7 +116,7 @@
   std::optional<std::size_t> length;  // of the body, in bytes
 };
 
-void read_status_line(std::string_view line, Head& head, Answer& answer) {
+void read_status_line(std::string_view line, Head& head, HttpResponse& answer) {
   std::size_t status = 0;
   if (!line.starts_with("HTTP/1.") || line.size() < kMinStatusLineBytes ||
       !number_of(line.substr(kStatusOffset, kStatusDigits), kDecimal, kLargestStatus, status)) {
@@ -127,7 +127,7 @@
   answer.closes = line.starts_with("HTTP/1.0");
 }
 
-void read_field(std::string_view line, std::size_t largest, Head& head, Answer& answer) {
+void read_field(std::string_view line, std::size_t largest, Head& head, HttpResponse& answer) {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) {
     return;
@@ -148,7 +148,7 @@
 }
 
 /// Takes the head off `rest`, as far as it has come.
-Head read_head(std::string_view& rest, std::size_t largest, Answer& answer) {
+Head read_head(std::string_view& rest, std::size_t largest, HttpResponse& answer) {
   Head head;
   std::string_view line;
   if (!line_of(rest, line)) {
@@ -163,13 +163,13 @@
 }
 
 /// Reads a body whose length the head states, or that ends with the connection.
-void read_plain_body(std::string_view rest, bool ended, const Head& head, Answer& answer) {
+void read_plain_body(std::string_view rest, bool ended, const Head& head, HttpResponse& answer) {
   const bool complete = head.length ? rest.size() >= *head.length : ended;
   if (complete) {
     answer.body = head.length ? rest.substr(0, *head.length) : rest;
     // Bytes after a response would be read as the response to the next request.
     answer.closes = answer.closes || rest.size() > answer.body.size();
-    answer.state = Answer::State::done;
+    answer.state = HttpResponse::State::done;
   }
   if (!head.length) {
     answer.closes = true;
@@ -178,17 +178,17 @@
 
 }  // namespace
 
-std::string get_request(const std::string& host, const std::string& target) {
+std::string format_get_request(const std::string& host, const std::string& target) {
   return "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n";
 }
 
-Answer answer_of(std::string_view in, bool ended, std::size_t largest) {
-  Answer answer;
+HttpResponse parse_response(std::string_view in, bool ended, std::size_t largest) {
+  HttpResponse answer;
   std::string_view rest = in;
   const Head head = read_head(rest, largest, answer);
   const bool head_missing = !head.complete && (in.size() > kMaxHeadBytes || ended);
   if (head.malformed || head_missing) {
-    answer.state = Answer::State::bad;
+    answer.state = HttpResponse::State::bad;
     return answer;
   }
   if (!head.complete) {
@@ -200,9 +200,9 @@
     read_plain_body(rest, ended, head, answer);
   }
   const std::size_t most = (head.chunked ? 2 : 1) * largest;  // chunks' sizes take room as well
-  const bool unfinished = answer.state == Answer::State::more && (ended || rest.size() > most);
+  const bool unfinished = answer.state == HttpResponse::State::more && (ended || rest.size() > most);
   if (answer.body.size() > largest || unfinished) {
-    answer.state = Answer::State::bad;
+    answer.state = HttpResponse::State::bad;
   }
   return answer;
 }
--- a/src/wire/http.h
+++ b/src/wire/http.h
@@ -8,7 +8,7 @@
 namespace dapplewharf {
 
 /// A response, as far as it has come.
-struct Answer {
+struct HttpResponse {
   enum class State {
     more,  // incomplete
     done,
@@ -21,12 +21,12 @@
 };
 
 /// The bytes of a GET request.
-[[nodiscard]] std::string get_request(const std::string& host, const std::string& target);
+[[nodiscard]] std::string format_get_request(const std::string& host, const std::string& target);
 
 /// Parses a response.
 /// @param in all bytes that came since the request.
 /// @param ended whether the connection has ended, so that no more will come.
 /// @param largest the size of the largest body that is accepted, in bytes.
-[[nodiscard]] Answer answer_of(std::string_view in, bool ended, std::size_t largest);
+[[nodiscard]] HttpResponse parse_response(std::string_view in, bool ended, std::size_t largest);
 
 }  // namespace dapplewharf
--- a/src/wire/lines.cpp
+++ b/src/wire/lines.cpp
@@ -165,10 +165,10 @@
     return read_group(value, to);
   }
   if (name == "r") {
-    return read_flag(value, to.repeated);
+    return read_flag(value, to.is_retry);
   }
   if (name == "again") {
-    return read_flag(value, to.returned);
+    return read_flag(value, to.is_migrated);
   }
   if (name == "d") {
     return read_wait(value, line, to);
@@ -237,7 +237,7 @@
 
 }  // namespace
 
-Opened opening_of(std::string_view line, const RequestSchema& schema) {
+ParsedRequestLine parse_request_line(std::string_view line, const RequestSchema& schema) {
   RequestLine request;
   std::string error = read_request_line(line, schema, request);
   if (!error.empty()) {
@@ -253,37 +253,37 @@
   return line.replace(request.wait_at, request.wait_size, std::to_string(ms));
 }
 
-Word word_of(std::string_view line) {
+LineType line_type_of(std::string_view line) {
   std::string_view rest = without_end(line);
   const std::string_view word = first_word(rest);
   if (word == "UP") {
-    return Word::up;
+    return LineType::up;
   }
   if (word == "BUSY") {
-    return Word::busy;
+    return LineType::busy;
   }
   if (word == "ERR") {
-    return Word::error;
+    return LineType::error;
   }
   if (word == "BYE") {
-    return Word::bye;
+    return LineType::bye;
   }
   if (word == "MOVE") {
-    return Word::move;
+    return LineType::move;
   }
   if (word == "LOAD") {
-    return Word::load;
+    return LineType::load;
   }
   if (word == "PONG") {
-    return Word::pong;
+    return LineType::pong;
   }
   if (word == "NO") {
-    return Word::no;
+    return LineType::no;
   }
-  return Word::other;
+  return LineType::other;
 }
 
-double load_of(std::string_view line) {
+double parse_load(std::string_view line) {
   std::string_view rest = without_end(line);
   first_word(rest);
   return figure_of(first_word(rest)).value_or(-1);
--- a/src/wire/lines.h
+++ b/src/wire/lines.h
@@ -24,8 +24,8 @@
   std::optional<std::int64_t> key;    // session affinity key
   std::optional<std::int64_t> group;  // affinity group
   Duration wait = 0;                  // how long the client waits, from when it sent the line
-  bool repeated = false;              // the client repeats the request by itself
-  bool returned = false;              // the client comes back after a migration or a break
+  bool is_retry = false;              // the client repeats the request by itself
+  bool is_migrated = false;           // the client comes back after a migration or a break
   std::size_t wait_at = 0;            // offset of the digits of `d` in the line
   std::size_t wait_size = 0;          // how many they are
 };
@@ -37,22 +37,22 @@
 };
 
 /// A parsed first line, or why it cannot be used.
-struct Opened {
-  std::optional<RequestLine> opening;
+struct ParsedRequestLine {
+  std::optional<RequestLine> request_line;
   std::string fault;  // what is wrong, where there is none
 };
 
 /// Parses a complete first line, with its end.
-[[nodiscard]] Opened opening_of(std::string_view line, const RequestSchema& schema);
+[[nodiscard]] ParsedRequestLine parse_request_line(std::string_view line, const RequestSchema& schema);
 
 /// The line with another time to wait, rounded down to whole ms and at least 1 ms.
 [[nodiscard]] std::string with_wait(const RequestLine& request, Duration wait);
 
 /// The first word of an endpoint's line.
-enum class Word { up, busy, error, bye, move, load, pong, no, other };
-[[nodiscard]] Word word_of(std::string_view line);
+enum class LineType { up, busy, error, bye, move, load, pong, no, other };
+[[nodiscard]] LineType line_type_of(std::string_view line);
 
 /// The figure of a LOAD line; below 0 if there is none.
-[[nodiscard]] double load_of(std::string_view line);
+[[nodiscard]] double parse_load(std::string_view line);
 
 }  // namespace dapplewharf
--- a/tests/base/slot_map_test.cpp
+++ b/tests/base/slot_map_test.cpp
@@ -7,11 +7,11 @@
 
 TEST(SlotMap, AStaleHandleNeverFindsAReusedSlot) {
   SlotMap<int> table;
-  const Handle first = table.add(1);
-  table.drop(first);
-  const Handle second = table.add(2);
+  const Handle first = table.insert(1);
+  table.erase(first);
+  const Handle second = table.insert(2);
   EXPECT_EQ(first.slot, second.slot);
   EXPECT_EQ(table.find(first), nullptr);
-  table.drop(first);
+  table.erase(first);
   EXPECT_EQ(*table.find(second), 2);
 }
--- a/tests/config/platform_settings_test.cpp
+++ b/tests/config/platform_settings_test.cpp
@@ -58,12 +58,12 @@
   for (const double nodes : {0.0, -3.0}) {
     nlohmann::json source = sound_settings();
     source["peersTotal"] = nodes;
-    Fake fake;
-    fake.settings["nodes"] = parse_platform_settings(source).node_count;
+    LoadBalancerHarness harness;
+    harness.settings["nodes"] = parse_platform_settings(source).node_count;
     EXPECT_EQ(parse_platform_settings(source).node_count, 1);
-    fake.start(3);
-    fake.pass(20000);
-    EXPECT_NE(fake.arrive("a", 1), "");
+    harness.start(3);
+    harness.advance_time(20000);
+    EXPECT_NE(harness.send_request("a", 1), "");
   }
 }
 
--- a/tests/gossip/peer_load_table_test.cpp
+++ b/tests/gossip/peer_load_table_test.cpp
@@ -107,7 +107,7 @@
   stranger.tell({{"a", 90}});
   one.tell({{"a", 3}});
   for (int i = 0; i < 20 && !two.elsewhere("a"); ++i) {
-    loop.turn(100 * kMs);
+    loop.run_once(100 * kMs);
   }
   EXPECT_EQ(two.elsewhere("a").value_or(-1), 3);
   EXPECT_FALSE(one.elsewhere("a"));
--- a/tests/node/client_admission_test.cpp
+++ b/tests/node/client_admission_test.cpp
@@ -9,78 +9,78 @@
 using namespace dapplewharf;
 
 TEST(ClientAdmission, MalformedInputCostsItsConnectionOnly) {
-  Net net;
-  const int malformed = net.client("GET / HTTP/1.1\r\n");
-  const int endless = net.client(std::string(6000, 'x'));
-  const int fine = net.client(request_line());
-  EXPECT_EQ(net.read(malformed), "ERR\r\n");
-  EXPECT_TRUE(net.ended(malformed));
-  EXPECT_EQ(net.read(endless), "ERR\r\n");
-  net.write(net.host_accepts(), "UP fine\r\n");
-  EXPECT_EQ(net.read(fine), "UP fine\r\n");
+  NodeHarness harness;
+  const int malformed = harness.connect_client("GET / HTTP/1.1\r\n");
+  const int endless = harness.connect_client(std::string(6000, 'x'));
+  const int fine = harness.connect_client(request_line());
+  EXPECT_EQ(harness.read(malformed), "ERR\r\n");
+  EXPECT_TRUE(harness.is_closed_by_peer(malformed));
+  EXPECT_EQ(harness.read(endless), "ERR\r\n");
+  harness.write(harness.accept_endpoint_connection(), "UP fine\r\n");
+  EXPECT_EQ(harness.read(fine), "UP fine\r\n");
 }
 
 TEST(ClientAdmission, TheIdOfAnOpenOrRecentConnectionReachesNoHost) {
-  Net net;
+  NodeHarness harness;
   const std::string first = request_line();
-  const int client = net.client(first);
-  const int host = net.host_accepts();
-  EXPECT_EQ(net.read(net.client(first)), "ERR\r\n") << "while it waits";
-  net.write(host, "UP x\r\n");
-  EXPECT_EQ(net.read(client), "UP x\r\n");
-  EXPECT_EQ(net.read(net.client(first)), "ERR\r\n") << "while it stands";
-  net.reset(client);
-  EXPECT_TRUE(net.ended(host));
-  EXPECT_EQ(net.read(net.client(first)), "ERR\r\n") << "an id is new with every connection";
+  const int client = harness.connect_client(first);
+  const int host = harness.accept_endpoint_connection();
+  EXPECT_EQ(harness.read(harness.connect_client(first)), "ERR\r\n") << "while it waits";
+  harness.write(host, "UP x\r\n");
+  EXPECT_EQ(harness.read(client), "UP x\r\n");
+  EXPECT_EQ(harness.read(harness.connect_client(first)), "ERR\r\n") << "while it stands";
+  harness.reset(client);
+  EXPECT_TRUE(harness.is_closed_by_peer(host));
+  EXPECT_EQ(harness.read(harness.connect_client(first)), "ERR\r\n") << "an id is new with every connection";
 }
 
 TEST(ClientAdmission, CommandsBehindTheRequestEndItAndItsAttempt) {
-  Net net;
-  EXPECT_EQ(net.read(net.client(request_line() + request_line())), "ERR\r\n");
-  const int client = net.client(request_line());
-  const int host = net.host_accepts();
-  net.read(host);
-  net.write(client, "BOOK 1\r\n");
-  EXPECT_EQ(net.read(client), "ERR\r\n");
-  EXPECT_TRUE(net.ended(host));
+  NodeHarness harness;
+  EXPECT_EQ(harness.read(harness.connect_client(request_line() + request_line())), "ERR\r\n");
+  const int client = harness.connect_client(request_line());
+  const int host = harness.accept_endpoint_connection();
+  harness.read(host);
+  harness.write(client, "BOOK 1\r\n");
+  EXPECT_EQ(harness.read(client), "ERR\r\n");
+  EXPECT_TRUE(harness.is_closed_by_peer(host));
 }
 
 TEST(ClientAdmission, AnIncompleteLineAndASilentClientEndWithinThreeSeconds) {
-  Net net;
-  const int half = net.client("OPEN 1f 2");
-  const int silent = net.client("");
-  const int both = net.client("PING\r\nOPEN 1f 2");
-  const int almost = net.client("PING now\r\n");
-  EXPECT_EQ(net.read(almost, 1, 500), "ERR\r\n");
-  EXPECT_EQ(net.read(half, 1, 2700), "ERR\r\n");
-  EXPECT_EQ(net.read(both, 9, 1000), "PONG\r\nERR\r\n");
-  EXPECT_TRUE(net.ended(half));
-  EXPECT_TRUE(net.ended(silent));
+  NodeHarness harness;
+  const int half = harness.connect_client("OPEN 1f 2");
+  const int silent = harness.connect_client("");
+  const int both = harness.connect_client("PING\r\nOPEN 1f 2");
+  const int almost = harness.connect_client("PING now\r\n");
+  EXPECT_EQ(harness.read(almost, 1, 500), "ERR\r\n");
+  EXPECT_EQ(harness.read(half, 1, 2700), "ERR\r\n");
+  EXPECT_EQ(harness.read(both, 9, 1000), "PONG\r\nERR\r\n");
+  EXPECT_TRUE(harness.is_closed_by_peer(half));
+  EXPECT_TRUE(harness.is_closed_by_peer(silent));
 }
 
 TEST(ClientAdmission, AClientThatGoesOnSendingAfterItsAnswerIsCutOff) {
-  Net net;
-  const int client = net.client("frob\r\n");
+  NodeHarness harness;
+  const int client = harness.connect_client("frob\r\n");
   const std::string lots(16000, 'x');
   std::size_t taken = 0;
-  net.until(
+  harness.run_until(
       [&] {
-        const auto given = net.socket(client).send(lots.data(), lots.size());
+        const auto given = harness.socket(client).send(lots.data(), lots.size());
         taken += given.value_or(0);
         return !given;
       },
       900);
-  EXPECT_FALSE(net.socket(client).send("x", 1)) << "cut off well before the second that its answer has";
+  EXPECT_FALSE(harness.socket(client).send("x", 1)) << "cut off well before the second that its answer has";
 }
 
 TEST(ClientAdmission, SilentAndPingingClientsTakeNothingFromAnOrdinaryOne) {
-  Net net(140);
+  NodeHarness harness(140);
   std::vector<int> crowd;
   for (int i = 0; i < 60; ++i) {
-    crowd.push_back(net.client(i % 2 ? "" : "PING\r\n"));
+    crowd.push_back(harness.connect_client(i % 2 ? "" : "PING\r\n"));
   }
-  const int client = net.client(request_line());
-  net.write(net.host_accepts(), "UP fine\r\n");
-  EXPECT_EQ(net.read(client), "UP fine\r\n");
-  EXPECT_EQ(net.read(crowd[1]), "BUSY\r\n") << "the longest silent give way";
+  const int client = harness.connect_client(request_line());
+  harness.write(harness.accept_endpoint_connection(), "UP fine\r\n");
+  EXPECT_EQ(harness.read(client), "UP fine\r\n");
+  EXPECT_EQ(harness.read(crowd[1]), "BUSY\r\n") << "the longest silent give way";
 }
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -25,7 +25,7 @@
   nlohmann::json to = {
       {"peersTotal", 1},
       {"me", 0},
-      {"zone", site.at_path("net.zones[0]").value_or("")},
+      {"zone", site.at_path("harness.zones[0]").value_or("")},
       {"weights", site.at_path("tier[0].weights").value_or("")},
       {"discovery",
        site.at_path("discovery.mode").value_or("") == std::string("push") ? "pushed" : "on_request"},
@@ -69,7 +69,7 @@
 
 void plays(const toml::table& site) {
   const nlohmann::json env = settings_made_of(site);
-  Net net(1024, true, [&](Configuration& to) {
+  NodeHarness harness(1024, true, [&](Configuration& to) {
     to.env = env;
     for (auto& host : to.known["instances"]) {
       host["zone"] = env["zone"];
@@ -81,31 +81,35 @@
     const std::string name = lane["name"].get<std::string>();
     const std::string wait = std::to_string(lane["hardLimitMs"].get<int>());
     const std::string id = "v" + std::to_string(clients.size());
-    clients.push_back(net.client("OPEN " + id + " 2e c=" + name + ",t=" + tenant + ",d=" + wait + "\r\n"));
-    net.write(net.host_accepts(), "UP x\r\n");
-    EXPECT_EQ(net.read(clients.back()), "UP x\r\n") << name;
-    const int beyond = net.client("OPEN b" + id + " 2e c=" + name + ",t=" + tenant + ",d=" + wait + "1\r\n");
-    EXPECT_EQ(net.read(beyond), "ERR\r\n") << name << ": longer than its type allows";
+    clients.push_back(
+        harness.connect_client("OPEN " + id + " 2e c=" + name + ",t=" + tenant + ",d=" + wait + "\r\n"));
+    harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
+    EXPECT_EQ(harness.read(clients.back()), "UP x\r\n") << name;
+    const int beyond =
+        harness.connect_client("OPEN b" + id + " 2e c=" + name + ",t=" + tenant + ",d=" + wait + "1\r\n");
+    EXPECT_EQ(harness.read(beyond), "ERR\r\n") << name << ": longer than its type allows";
   }
-  EXPECT_EQ(net.read(net.client("OPEN o 2e c=plain,t=" + tenant + ",d=100\r\n")), "ERR\r\n")
+  EXPECT_EQ(harness.read(harness.connect_client("OPEN o 2e c=plain,t=" + tenant + ",d=100\r\n")), "ERR\r\n")
       << "another's type";
   nlohmann::json hosts = nlohmann::json::array();
   for (const char* id : {"h0", "h1", "h2", "h3"}) {
-    hosts.push_back(
-        {{"instanceId", id}, {"hostPort", Net::text_of(net.hosts_at)}, {"lifecycle", "draining"}});
+    hosts.push_back({{"instanceId", id},
+                     {"hostPort", NodeHarness::address_text(harness.endpoint_address)},
+                     {"lifecycle", "draining"}});
   }
-  net.answers = {
-      Net::http(nlohmann::json({{"generation", 2}, {"reset", false}, {"instances", hosts}}).dump(2))};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, 9000));
-  net.run(20);
+  harness.discovery_responses = {
+      NodeHarness::http(nlohmann::json({{"generation", 2}, {"reset", false}, {"instances", hosts}}).dump(2))};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, 9000));
+  harness.run_for(20);
   const std::string name = env["lanes"][0]["name"].get<std::string>();
   const std::string last = "OPEN l 2e c=" + name + ",t=" + tenant + ",d=500\r\n";
-  EXPECT_EQ(net.read(net.client(last)).substr(0, 4), "BUSY") << "nothing new to hosts that leave";
-  net.node->stop();
+  EXPECT_EQ(harness.read(harness.connect_client(last)).substr(0, 4), "BUSY")
+      << "nothing new to hosts that leave";
+  harness.node->stop();
   for (const int client : clients) {
-    EXPECT_EQ(net.read(client, 6, 3000), "MOVE\r\n");
+    EXPECT_EQ(harness.read(client, 6, 3000), "MOVE\r\n");
   }
-  EXPECT_TRUE(net.until([&] { return net.node->done(); }, 5000));
+  EXPECT_TRUE(harness.run_until([&] { return harness.node->done(); }, 5000));
 }
 
 }  // namespace
--- a/tests/node/endpoint_discovery_test.cpp
+++ b/tests/node/endpoint_discovery_test.cpp
@@ -41,13 +41,14 @@
 // A list that is refused leaves the node with its former endpoints for good.
 TEST(EndpointDiscovery, FollowsAThousandHostsIndentedWithLongNamesAndInPieces) {
   for (const bool chunked : {false, true}) {
-    Net net(1024, true, [](Configuration& to) {
+    NodeHarness harness(1024, true, [](Configuration& to) {
       to.memory_mb = 32;
       to.known = nlohmann::json::parse(long_list(1024, 1, "up", to.discovery));
     });
-    const std::string body = long_list(1024, 2, "draining", Net::text_of(net.hosts_at));
+    const std::string body =
+        long_list(1024, 2, "draining", NodeHarness::address_text(harness.endpoint_address));
     EXPECT_GT(body.size(), 512u * 1024) << "more than was once read";
-    std::string answer = Net::http(body);
+    std::string answer = NodeHarness::http(body);
     if (chunked) {
       answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
       char size[16];
@@ -58,21 +59,26 @@
       }
       answer += "0\r\n\r\n";
     }
-    ASSERT_TRUE(net.until([&] { return net.asked.find("\r\n\r\n") != std::string::npos; }));
-    net.asked.clear();
-    const TimePoint by = net.loop.now() + 20 * kSecond;
+    ASSERT_TRUE(
+        harness.run_until([&] { return harness.discovery_request.find("\r\n\r\n") != std::string::npos; }));
+    harness.discovery_request.clear();
+    const TimePoint by = harness.loop.now() + 20 * kSecond;
     for (std::size_t i = 0; i < answer.size(); i += 1400) {
-      ASSERT_LT(net.loop.now(), by) << "it was refused on the way";
+      ASSERT_LT(harness.loop.now(), by) << "it was refused on the way";
       std::size_t sent = 0;
       const std::string piece = answer.substr(i, 1400);
-      ASSERT_TRUE(net.until([&] {
-        sent += net.call.send(piece.data() + sent, piece.size() - sent).value_or(0);
+      ASSERT_TRUE(harness.run_until([&] {
+        sent += harness.discovery_connection.send(piece.data() + sent, piece.size() - sent).value_or(0);
         return sent == piece.size();
       }));
-      net.loop.turn(0);
+      harness.loop.run_once(0);
     }
-    EXPECT_TRUE(net.until([&] { return net.asked.find("after=2&") != std::string::npos; })) << chunked;
-    EXPECT_EQ(net.read(net.client("OPEN 6a" + std::to_string(chunked) + " 6b c=plain,t=x,d=2000,g=6c\r\n"))
+    EXPECT_TRUE(harness.run_until([&] {
+      return harness.discovery_request.find("after=2&") != std::string::npos;
+    })) << chunked;
+    EXPECT_EQ(harness
+                  .read(harness.connect_client("OPEN 6a" + std::to_string(chunked) +
+                                               " 6b c=plain,t=x,d=2000,g=6c\r\n"))
                   .substr(0, 4),
               "BUSY")
         << "all 1,024 drain";
@@ -80,46 +86,52 @@
 }
 
 TEST(EndpointDiscovery, IsCalledAgainAfterFailuresAndItsListIsFollowed) {
-  Net net;
-  net.answers = {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Net::http("garbage"),
-                 Net::http(R"({"generation":2,"reset":true,"instances":[]})")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, 5000));
-  const int client = net.client(request_line());
-  EXPECT_EQ(net.read(client).substr(0, 4), "BUSY");
+  NodeHarness harness;
+  harness.discovery_responses = {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+                                 NodeHarness::http("garbage"),
+                                 NodeHarness::http(R"({"generation":2,"reset":true,"instances":[]})")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, 5000));
+  const int client = harness.connect_client(request_line());
+  EXPECT_EQ(harness.read(client).substr(0, 4), "BUSY");
 }
 
 TEST(EndpointDiscovery, IsAskedForTheCompleteListWithoutAKnownOne) {
-  Net net(1024, false);
-  EXPECT_TRUE(net.until([&] { return net.asked.find("\r\n\r\n") != std::string::npos; }, 1000));
-  EXPECT_EQ(net.asked.substr(0, 18), "GET /api/targets H") << "changes since nothing may leave hosts out";
-  net.answers = {Net::http(R"({"generation":9,"reset":true,"instances":[{"instanceId":"h0","hostPort":")" +
-                           Net::text_of(net.hosts_at) + R"(","zone":"near","lifecycle":"up"}]})")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  EXPECT_TRUE(net.until([&] { return net.asked.find("after=9") != std::string::npos; }, 1000))
+  NodeHarness harness(1024, false);
+  EXPECT_TRUE(harness.run_until(
+      [&] { return harness.discovery_request.find("\r\n\r\n") != std::string::npos; }, 1000));
+  EXPECT_EQ(harness.discovery_request.substr(0, 18), "GET /api/targets H")
+      << "changes since nothing may leave hosts out";
+  harness.discovery_responses = {NodeHarness::http(
+      R"({"generation":9,"reset":true,"instances":[{"instanceId":"h0","hostPort":")" +
+      NodeHarness::address_text(harness.endpoint_address) + R"(","zone":"near","lifecycle":"up"}]})")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  EXPECT_TRUE(
+      harness.run_until([&] { return harness.discovery_request.find("after=9") != std::string::npos; }, 1000))
       << "then it watches";
-  const int client = net.client(request_line());
-  const int host = net.host_accepts();
-  net.write(host, "UP x\r\n");
-  EXPECT_EQ(net.read(client), "UP x\r\n");
+  const int client = harness.connect_client(request_line());
+  const int host = harness.accept_endpoint_connection();
+  harness.write(host, "UP x\r\n");
+  EXPECT_EQ(harness.read(client), "UP x\r\n");
 }
 
 TEST(EndpointDiscovery, AKeptConnectionThatItClosedCostsNoLoss) {
-  Net net;
+  NodeHarness harness;
   const std::string none = R"({"generation":2,"reset":false,"instances":[]})";
-  net.answers = {Net::http(none)};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  net.run(20);
-  net.call.close();  // the next call is out already, or is to be made anew
-  net.asked.clear();
-  net.answers = {Net::http(R"({"generation":3,"reset":true,"instances":[]})")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, 450)) << "a watch goes on within 200 ms";
+  harness.discovery_responses = {NodeHarness::http(none)};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  harness.run_for(20);
+  harness.discovery_connection.close();  // the next call is out already, or is to be made anew
+  harness.discovery_request.clear();
+  harness.discovery_responses = {NodeHarness::http(R"({"generation":3,"reset":true,"instances":[]})")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, 450))
+      << "a watch goes on within 200 ms";
 }
 
 TEST(EndpointDiscovery, ACallThatHangsIsGivenUpBeforeTheNodeCountsAsNotified) {
-  Net net;
-  net.answers = {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf a body"};
-  EXPECT_TRUE(net.until([&] { return net.calls == 1; }));
-  EXPECT_TRUE(net.until([&] { return net.calls == 2; }, 9000))
+  NodeHarness harness;
+  harness.discovery_responses = {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf a body"};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 1; }));
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 2; }, 9000))
       << "two seconds after the wait of five, and a retry";
 }
 
@@ -129,9 +141,9 @@
   Counters counters;
   const Limits limits{96, kSecond};
   Socket listener;
-  const std::string at = Net::text_of(Net::listening(listener));
+  const std::string at = NodeHarness::address_text(NodeHarness::listen_on_loopback(listener));
   std::vector<Socket> idle;
-  while (!Socket::short_of(limits.descriptors, kProbesLeave)) {
+  while (!Socket::is_short_of_descriptors(limits.descriptors, kReservedFromHealthChecks)) {
     idle.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
   }
   std::optional<TerminationReason> probed;
@@ -145,9 +157,9 @@
                               {.listed = [](const EndpointSnapshot&) {}, .lost = [&] { lost = true; }});
   discovery.fetch();
   for (int i = 0; i < 5; ++i) {
-    loop.turn(100);
+    loop.run_once(100);
   }
   EXPECT_FALSE(lost);
-  EXPECT_TRUE(Socket(accept4(listener.number(), nullptr, nullptr, SOCK_NONBLOCK)))
+  EXPECT_TRUE(Socket(accept4(listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK)))
       << "its connection has come";
 }
--- a/tests/node/event_order_random_test.cpp
+++ b/tests/node/event_order_random_test.cpp
@@ -32,7 +32,7 @@
   RandomGenerator& chance;
   Socket listeners[kHosts];
   sockaddr_in at[kHosts];
-  std::optional<Net> net;
+  std::optional<NodeHarness> harness;
   std::vector<Client> clients;
   std::vector<Attempt> tries;
   int turn = 0, version = 1, told = -1, last_id = 0, lines = 0, answers = 0;
@@ -41,11 +41,11 @@
 
   explicit Many(RandomGenerator& from) : chance(from) {
     for (int i = 0; i < kHosts; ++i) {
-      at[i] = Net::listening(listeners[i]);
+      at[i] = NodeHarness::listen_on_loopback(listeners[i]);
     }
-    net.emplace(1024, true, [this](Configuration& to) {
+    harness.emplace(1024, true, [this](Configuration& to) {
       for (int i = 0; i < kHosts; ++i) {
-        to.known["instances"][i]["hostPort"] = Net::text_of(at[i]);
+        to.known["instances"][i]["hostPort"] = NodeHarness::address_text(at[i]);
       }
       to.env["lanes"][0]["hardLimitMs"] = 400;
       to.env["lanes"].push_back(to.env["lanes"][0]);
@@ -60,7 +60,7 @@
     made.once = one_in(2);
     made.id = "c" + std::to_string(++last_id);
     made.line = "OPEN " + made.id + " 2e c=" + (made.once ? "once" : "plain") + ",t=x,d=400,g=3d\r\n";
-    EXPECT_EQ(dial(net->front, 1024, 0, made.socket), Dial::begun);
+    EXPECT_EQ(start_connecting(harness->node_address, 1024, 0, made.socket), ConnectStart::in_progress);
   }
 
   void happens() {
@@ -72,25 +72,25 @@
         continue;
       }
       one.gone = true;
-      one_in(2) ? one.socket.abort() : one.socket.finish();
+      one_in(2) ? one.socket.close_with_reset() : one.socket.shut_down_sending();
     }
     for (Attempt& one : tries) {
       if (one.known && !one.answered && !one.ended && one_in(4)) {
         answer(one);
       }
     }
-    if (told < 0 && net->answers.empty() && one_in(10)) {
+    if (told < 0 && harness->discovery_responses.empty() && one_in(10)) {
       told = static_cast<int>(chance.next() % kHosts);
       drains = drains_since[told] < 0;
       if (drains && std::count(drains_since, drains_since + kHosts, -1) < 3) {
         return void(told = -1);
       }
       const nlohmann::json entry = {{"instanceId", "h" + std::to_string(told)},
-                                    {"hostPort", Net::text_of(at[told])},
+                                    {"hostPort", NodeHarness::address_text(at[told])},
                                     {"zone", "near"},
                                     {"lifecycle", drains ? "draining" : "up"}};
       const nlohmann::json body = {{"generation", ++version}, {"reset", false}, {"instances", {entry}}};
-      net->answers = {Net::http(body.dump())};
+      harness->discovery_responses = {NodeHarness::http(body.dump())};
     }
   }
 
@@ -107,10 +107,10 @@
       one.socket.send("UP s\r\n", 6);  // a second answer
     }
     if (how == 2 || how == 3 || (how == 0 && one_in(2))) {
-      one.socket.finish();
+      one.socket.shut_down_sending();
     }
     if (how == 4 || how == 6) {
-      one.socket.abort();  // also right behind its UP
+      one.socket.close_with_reset();  // also right behind its UP
     }
     one.answered = true, one.turned_away = how == 0;
   }
@@ -118,7 +118,7 @@
   void sees() {
     for (int i = 0; i < kHosts; ++i) {
       for (;;) {
-        Socket taken(accept4(listeners[i].number(), nullptr, nullptr, SOCK_NONBLOCK));
+        Socket taken(accept4(listeners[i].descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
         if (!taken) {
           break;
         }
@@ -167,12 +167,12 @@
 
   bool step() {
     happens();
-    const bool waits = told >= 0 && !net->answers.empty();
-    net->turn();
+    const bool waits = told >= 0 && !harness->discovery_responses.empty();
+    harness->run_once();
     ++turn;
     sees();
     // The answer went out at the end of that turn: the node reads it in the next one, and may write before.
-    if (waits && net->answers.empty()) {
+    if (waits && harness->discovery_responses.empty()) {
       drains_since[told] = drains ? turn + 1 : -1, told = -1;
     }
     return std::all_of(clients.begin(), clients.end(),
@@ -195,11 +195,11 @@
     }
     clients.clear();
     for (int i = 0; i < 5; ++i) {
-      net->turn(), ++turn;
+      harness->run_once(), ++turn;
     }
     tries.clear();
     for (int i = 0; i < kHosts; ++i) {
-      while (Socket(accept4(listeners[i].number(), nullptr, nullptr, SOCK_NONBLOCK))) {
+      while (Socket(accept4(listeners[i].descriptor(), nullptr, nullptr, SOCK_NONBLOCK))) {
       }
     }
   }
--- a/tests/node/event_order_test.cpp
+++ b/tests/node/event_order_test.cpp
@@ -17,63 +17,68 @@
 }
 
 // What discovery says of hosts: whole lists.
-std::string list(const Net& net, int version, const std::vector<std::string>& hosts,
+std::string list(const NodeHarness& harness, int version, const std::vector<std::string>& hosts,
                  const std::string& lifecycle) {
   nlohmann::json named = nlohmann::json::array();
   for (const std::string& host : hosts) {
     named.push_back({{"instanceId", host},
-                     {"hostPort", Net::text_of(net.hosts_at)},
+                     {"hostPort", NodeHarness::address_text(harness.endpoint_address)},
                      {"zone", "near"},
                      {"lifecycle", lifecycle}});
   }
-  return Net::http(nlohmann::json({{"generation", version}, {"reset", true}, {"instances", named}}).dump());
+  return NodeHarness::http(
+      nlohmann::json({{"generation", version}, {"reset", true}, {"instances", named}}).dump());
 }
 const std::vector<std::string> kAll = {"h0", "h1", "h2", "h3"};
 
-bool asks(const Net& net) {
-  return net.asked.find("\r\n\r\n") != std::string::npos;
+bool asks(const NodeHarness& harness) {
+  return harness.discovery_request.find("\r\n\r\n") != std::string::npos;
 }
 
 }  // namespace
 
 TEST(Crossings, AWatchSilentFromItsFirstMomentIsMadeGoodBeforeItCountsAsTold) {
-  Net net;
-  net.answers = {kBusy};  // danger: one call lost before made the next one wait longer
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  EXPECT_TRUE(net.until([&] { return net.calls == 2 && asks(net); }));
-  const TimePoint silent_from = net.loop.now();
-  EXPECT_TRUE(net.until([&] { return net.calls == 3 && asks(net); }, kToldUnheardMs)) << "opened anew";
-  net.answers = {kBusy, Net::http("garbage"), list(net, 2, kAll, "draining")};  // many ask just then
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, kToldUnheardMs));
-  EXPECT_LT(net.loop.now() - silent_from, kToldUnheardMs * kMs);
-  EXPECT_EQ(net.read(net.client(opening())).substr(0, 4), "BUSY") << "and what it says is followed";
+  NodeHarness harness;
+  harness.discovery_responses = {kBusy};  // danger: one call lost before made the next one wait longer
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 2 && asks(harness); }));
+  const TimePoint silent_from = harness.loop.now();
+  EXPECT_TRUE(
+      harness.run_until([&] { return harness.discovery_connections == 3 && asks(harness); }, kToldUnheardMs))
+      << "opened anew";
+  harness.discovery_responses = {kBusy, NodeHarness::http("garbage"),
+                                 list(harness, 2, kAll, "draining")};  // many ask just then
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, kToldUnheardMs));
+  EXPECT_LT(harness.loop.now() - silent_from, kToldUnheardMs * kMs);
+  EXPECT_EQ(harness.read(harness.connect_client(opening())).substr(0, 4), "BUSY")
+      << "and what it says is followed";
 }
 
 TEST(Crossings, ANewPlaceThatTurnsAwayIsAskedAgainBeforeItCountsAsTold) {
-  Net net;
-  EXPECT_TRUE(net.until([&] { return asks(net); }));
-  net.moves_discovery();
-  const TimePoint moved = net.loop.now();
-  net.answers = {kBusy, kBusy, kBusy, kBusy, list(net, 1, kAll, "draining")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, kToldAnewMs));
-  EXPECT_LT(net.loop.now() - moved, kToldAnewMs * kMs);
+  NodeHarness harness;
+  EXPECT_TRUE(harness.run_until([&] { return asks(harness); }));
+  harness.reload_with_new_discovery();
+  const TimePoint moved = harness.loop.now();
+  harness.discovery_responses = {kBusy, kBusy, kBusy, kBusy, list(harness, 1, kAll, "draining")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, kToldAnewMs));
+  EXPECT_LT(harness.loop.now() - moved, kToldAnewMs * kMs);
 }
 
 namespace {
 
 // Takes no connection until it is let: what is dialled meanwhile comes up late, when its SYN is sent again.
 struct Held {
-  Net& net;
+  NodeHarness& harness;
   Socket filler;  // one that waits to be accepted fills a backlog of none
-  explicit Held(Net& to) : net(to) {
-    listen(net.hosts.number(), 0);
-    EXPECT_EQ(dial(net.hosts_at, 1024, 0, filler), Dial::begun);
-    pollfd stands{filler.number(), POLLOUT, 0};
+  explicit Held(NodeHarness& to) : harness(to) {
+    listen(harness.endpoint_listener.descriptor(), 0);
+    EXPECT_EQ(start_connecting(harness.endpoint_address, 1024, 0, filler), ConnectStart::in_progress);
+    pollfd stands{filler.descriptor(), POLLOUT, 0};
     EXPECT_EQ(poll(&stands, 1, 5000), 1);
   }
   void let() {
-    listen(net.hosts.number(), 16);
-    Socket taken(accept4(net.hosts.number(), nullptr, nullptr, 0));
+    listen(harness.endpoint_listener.descriptor(), 16);
+    Socket taken(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, 0));
     EXPECT_TRUE(taken);
   }
 };
@@ -81,32 +86,32 @@
 // A client whose try's connection stands, while the node does not know so yet: the next turn serves both.
 struct Standing {
   int client = 0, host = 0;
-  explicit Standing(Net& net) {
+  explicit Standing(NodeHarness& harness) {
     // Two places in the loop are given again in the opposite order: the host's comes before the client's.
-    for (const int gone : {net.client(""), net.client("")}) {
-      net.reset(gone), net.run(20);
+    for (const int gone : {harness.connect_client(""), harness.connect_client("")}) {
+      harness.reset(gone), harness.run_for(20);
     }
     Socket socket;
-    EXPECT_EQ(dial(net.front, 1024, 0, socket), Dial::begun);
-    client = net.keep(std::move(socket));
+    EXPECT_EQ(start_connecting(harness.node_address, 1024, 0, socket), ConnectStart::in_progress);
+    client = harness.keep_socket(std::move(socket));
     const std::string line = opening();
     Socket taken;
     for (int i = 0; i < 400 && !taken; ++i) {
       if (i == 2) {
-        net.socket(client).send(line.data(), line.size());
+        harness.socket(client).send(line.data(), line.size());
       }
-      net.turn();
-      taken = Socket(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
+      harness.run_once();
+      taken = Socket(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
     }
     EXPECT_TRUE(taken);
-    host = net.keep(std::move(taken));
+    host = harness.keep_socket(std::move(taken));
   }
 };
 
-std::string all_of(Net& net, int number) {  // what came until its end
+std::string all_of(NodeHarness& harness, int number) {  // what came until its end
   std::string bytes;
   bool end = false;
-  EXPECT_TRUE(net.until([&] { return !net.socket(number).receive(bytes, 65536, end) || end; }));
+  EXPECT_TRUE(harness.run_until([&] { return !harness.socket(number).receive(bytes, 65536, end) || end; }));
   return bytes;
 }
 
@@ -115,8 +120,8 @@
 TEST(Crossings, AHostAnnouncedAsLeavingWhileItsConnectionComesUpIsSentNothing) {
   for (const char* lifecycle : {"draining", "removed"}) {
     Socket other;
-    const sockaddr_in there = Net::listening(other);
-    Net net(1024, true, [](Configuration& to) {
+    const sockaddr_in there = NodeHarness::listen_on_loopback(other);
+    NodeHarness harness(1024, true, [](Configuration& to) {
       to.env["bounds"]["dialTimeoutMs"] = 10000;
       to.env["bounds"]["maxAttempts"] = 1;  // what never began is no try of it
       to.env["lanes"][0]["semantics"] = "at_most_once";
@@ -124,84 +129,87 @@
     });
     std::string line = opening();
     line.replace(line.find("d=2000"), 6, "d=9000");
-    Held held(net);
-    const int client = net.client(line);
+    Held held(harness);
+    const int client = harness.connect_client(line);
     nlohmann::json hosts = nlohmann::json::array();
     for (const std::string& host : kAll) {
-      hosts.push_back(
-          {{"instanceId", host}, {"hostPort", Net::text_of(net.hosts_at)}, {"lifecycle", lifecycle}});
+      hosts.push_back({{"instanceId", host},
+                       {"hostPort", NodeHarness::address_text(harness.endpoint_address)},
+                       {"lifecycle", lifecycle}});
     }
-    hosts.push_back(
-        {{"instanceId", "h9"}, {"hostPort", Net::text_of(there)}, {"zone", "near"}, {"lifecycle", "up"}});
-    net.answers = {
-        Net::http(nlohmann::json({{"generation", 2}, {"reset", false}, {"instances", hosts}}).dump())};
-    EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-    net.run(20);
+    hosts.push_back({{"instanceId", "h9"},
+                     {"hostPort", NodeHarness::address_text(there)},
+                     {"zone", "near"},
+                     {"lifecycle", "up"}});
+    harness.discovery_responses = {NodeHarness::http(
+        nlohmann::json({{"generation", 2}, {"reset", false}, {"instances", hosts}}).dump())};
+    EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+    harness.run_for(20);
     held.let();
     Socket taken;
-    EXPECT_TRUE(net.until([&] {
+    EXPECT_TRUE(harness.run_until([&] {
       if (!taken)
-        taken = Socket(accept4(other.number(), nullptr, nullptr, SOCK_NONBLOCK));
+        taken = Socket(accept4(other.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
       return static_cast<bool>(taken);
     })) << "it is placed anew";
-    EXPECT_EQ(all_of(net, net.host_accepts()), "") << lifecycle;
-    const int host = net.keep(std::move(taken));
-    EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");
-    net.write(host, "UP x\r\n");
-    EXPECT_EQ(net.read(client), "UP x\r\n");
+    EXPECT_EQ(all_of(harness, harness.accept_endpoint_connection()), "") << lifecycle;
+    const int host = harness.keep_socket(std::move(taken));
+    EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");
+    harness.write(host, "UP x\r\n");
+    EXPECT_EQ(harness.read(client), "UP x\r\n");
   }
 }
 
 TEST(Crossings, AClientThatLeavesAsItsTryComesUpIsNotSentOn) {
   for (const bool by_reset : {true, false}) {
-    Net net;
-    Standing both(net);
+    NodeHarness harness;
+    Standing both(harness);
     if (by_reset) {
-      net.reset(both.client);
+      harness.reset(both.client);
     } else {
-      net.finish(both.client);
+      harness.shut_down_writing(both.client);
     }
-    EXPECT_EQ(all_of(net, both.host), "") << (by_reset ? "RST" : "FIN");
+    EXPECT_EQ(all_of(harness, both.host), "") << (by_reset ? "RST" : "FIN");
   }
 }
 
 // Its line and its end are there before the node's next turn: not even a connection is made for it.
 TEST(Crossings, AClientThatEndsWithItsLineCostsNoHostAConnection) {
-  Net net;
+  NodeHarness harness;
   Socket client;
-  ASSERT_EQ(dial(net.front, 1024, 0, client), Dial::begun);
-  net.run(20);
+  ASSERT_EQ(start_connecting(harness.node_address, 1024, 0, client), ConnectStart::in_progress);
+  harness.run_for(20);
   const std::string line = opening();
   EXPECT_EQ(client.send(line.data(), line.size()), line.size());
-  client.finish();
-  const int number = net.keep(std::move(client));
-  EXPECT_EQ(net.read(number).substr(0, 5), "ERR\r\n") << "it may still listen";
-  net.run(100);
-  EXPECT_FALSE(Socket(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK)));
+  client.shut_down_sending();
+  const int number = harness.keep_socket(std::move(client));
+  EXPECT_EQ(harness.read(number).substr(0, 5), "ERR\r\n") << "it may still listen";
+  harness.run_for(100);
+  EXPECT_FALSE(Socket(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK)));
   // The next one is served as ever: nothing of the one that left counts as out.
-  const int next = net.client(opening());
-  net.write(net.host_accepts(), "UP x\r\n");
-  EXPECT_EQ(net.read(next), "UP x\r\n");
+  const int next = harness.connect_client(opening());
+  harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
+  EXPECT_EQ(harness.read(next), "UP x\r\n");
 }
 
 TEST(Crossings, ATryWhoseTimeEndedDuringAPauseIsNotSentOn) {
-  Net net;
-  Standing both(net);
+  NodeHarness harness;
+  Standing both(harness);
   timespec pause{2, 100000000};  // longer than its client waits; the process is held up as by a SIGSTOP
   nanosleep(&pause, nullptr);
-  EXPECT_EQ(all_of(net, both.host), "");
-  EXPECT_EQ(net.read(both.client).substr(0, 4), "BUSY");
+  EXPECT_EQ(all_of(harness, both.host), "");
+  EXPECT_EQ(harness.read(both.client).substr(0, 4), "BUSY");
 }
 
 namespace {
 
 // What a client has when the process is gone: nothing turns any more.
-std::string after_the_end(Net& net, int client) {
-  EXPECT_TRUE(net.until([&] { return net.node->done(); }, 5000));
-  net.node.reset();
+std::string after_the_end(NodeHarness& harness, int client) {
+  EXPECT_TRUE(harness.run_until([&] { return harness.node->done(); }, 5000));
+  harness.node.reset();
   std::string bytes;
   bool end = false;
-  while (net.socket(client).receive(bytes, 65536, end).value_or(0) > 0) {
+  while (harness.socket(client).receive(bytes, 65536, end).value_or(0) > 0) {
   }
   return bytes;
 }
@@ -210,107 +218,109 @@
 
 TEST(Crossings, WhatWaitsLongerThanAStopLastsIsAnsweredBeforeItsEnd) {
   for (const char* effect : {"at_most_once", "idempotent"}) {
-    Net net(1024, true, [&](Configuration& to) {
+    NodeHarness harness(1024, true, [&](Configuration& to) {
       to.env["lanes"][0]["hardLimitMs"] = 9000;
       to.env["lanes"][0]["semantics"] = effect;
       to.env["bounds"]["maxAttempts"] = 1;
     });
     std::string line = opening();
     line.replace(line.find("d=2000"), 6, "d=9000");
-    const int client = net.client(line);
-    const int host = net.host_accepts();
-    EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");  // and it never answers
-    net.node->stop();
-    const std::string last = after_the_end(net, client);
+    const int client = harness.connect_client(line);
+    const int host = harness.accept_endpoint_connection();
+    EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");  // and it never answers
+    harness.node->stop();
+    const std::string last = after_the_end(harness, client);
     EXPECT_EQ(last.substr(0, 4), effect == std::string("idempotent") ? "BUSY" : "ERR\r") << effect;
   }
 }
 
 TEST(Crossings, ALineThatComesInPiecesAcrossAStopIsAnswered) {
-  Net net;
+  NodeHarness harness;
   const std::string line = opening();
-  const int client = net.client(line.substr(0, 9));
-  net.node->stop();
-  net.run(1300);
-  EXPECT_FALSE(net.node->done()) << "half a line is one that comes";
-  net.write(client, line.substr(9));
-  net.write(net.host_accepts(), "UP x\r\n");
-  EXPECT_EQ(net.read(client, 12, 2000), "UP x\r\nMOVE\r\n");
+  const int client = harness.connect_client(line.substr(0, 9));
+  harness.node->stop();
+  harness.run_for(1300);
+  EXPECT_FALSE(harness.node->done()) << "half a line is one that comes";
+  harness.write(client, line.substr(9));
+  harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
+  EXPECT_EQ(harness.read(client, 12, 2000), "UP x\r\nMOVE\r\n");
 }
 
 TEST(Crossings, WhoTheKernelAcceptedAsTheNodeWasAboutToEndIsAnswered) {
-  Net net;
-  net.node->stop();
-  net.run(1100);
+  NodeHarness harness;
+  harness.node->stop();
+  harness.run_for(1100);
   Socket socket;
-  EXPECT_EQ(dial(net.front, 1024, 0, socket), Dial::begun);
+  EXPECT_EQ(start_connecting(harness.node_address, 1024, 0, socket), ConnectStart::in_progress);
   const std::string line = opening();
   EXPECT_TRUE(socket.send(line.data(), line.size()));  // loopback: it is written to what the kernel accepted
-  EXPECT_FALSE(net.node->done());
-  const int client = net.keep(std::move(socket));
-  net.write(net.host_accepts(), "UP x\r\n");
-  EXPECT_EQ(net.read(client, 12, 2000), "UP x\r\nMOVE\r\n");
-  net.finish(client);
-  EXPECT_TRUE(net.until([&] { return net.node->done(); }, 2000));
+  EXPECT_FALSE(harness.node->done());
+  const int client = harness.keep_socket(std::move(socket));
+  harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
+  EXPECT_EQ(harness.read(client, 12, 2000), "UP x\r\nMOVE\r\n");
+  harness.shut_down_writing(client);
+  EXPECT_TRUE(harness.run_until([&] { return harness.node->done(); }, 2000));
 }
 
 TEST(Crossings, AListServiceThatIsBackAfterALongTimeIsAskedWithinTheGrace) {
-  Net net(1024, true, [](Configuration& to) { to.env["discovery"] = "pushed"; });
-  EXPECT_TRUE(net.until([&] { return asks(net); }));
-  const sockaddr_in there = net.discovery_at;
-  net.discovery.close();
-  net.call.close(), net.asked.clear();
-  net.run(4000);  // the waits between calls have grown
-  EXPECT_FALSE(listen_at(there, net.discovery));
-  const TimePoint back = net.loop.now();
-  net.answers = {list(net, 2, kAll, "draining")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  EXPECT_LT(net.loop.now() - back, 1000 * kMs) << "the grace in the settings";
+  NodeHarness harness(1024, true, [](Configuration& to) { to.env["discovery"] = "pushed"; });
+  EXPECT_TRUE(harness.run_until([&] { return asks(harness); }));
+  const sockaddr_in there = harness.discovery_address;
+  harness.discovery_listener.close();
+  harness.discovery_connection.close(), harness.discovery_request.clear();
+  harness.run_for(4000);  // the waits between calls have grown
+  EXPECT_FALSE(listen_on(there, harness.discovery_listener));
+  const TimePoint back = harness.loop.now();
+  harness.discovery_responses = {list(harness, 2, kAll, "draining")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  EXPECT_LT(harness.loop.now() - back, 1000 * kMs) << "the grace in the settings";
 }
 
 TEST(Crossings, AServiceThatCountsAnewIsAskedForTheWholeList) {
-  Net net;
-  net.answers = {Net::http(R"({"generation":9,"reset":false,"instances":[]})"),
-                 Net::http(R"({"generation":3,"reset":false,"instances":[]})")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  EXPECT_TRUE(net.until([&] { return asks(net); }));
-  EXPECT_EQ(net.asked.substr(0, 18), "GET /api/targets H") << "what it told before it began anew is unknown";
+  NodeHarness harness;
+  harness.discovery_responses = {NodeHarness::http(R"({"generation":9,"reset":false,"instances":[]})"),
+                                 NodeHarness::http(R"({"generation":3,"reset":false,"instances":[]})")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  EXPECT_TRUE(harness.run_until([&] { return asks(harness); }));
+  EXPECT_EQ(harness.discovery_request.substr(0, 18), "GET /api/targets H")
+      << "what it told before it began anew is unknown";
 }
 
 TEST(Crossings, WhatStandsBehindAnAnswerIsNotTheAnswerToTheNextCall) {
   const std::string second = R"({"generation":3,"reset":true,"instances":[]})";
   for (const std::string& behind :
-       {Net::http(second),
+       {NodeHarness::http(second),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2c\r\n" + second + "\r\n0\r\n\r\n"}) {
-    Net net;
-    EXPECT_TRUE(net.until([&] { return asks(net); }));
-    net.answers = {list(net, 2, kAll, "up") + behind};
-    EXPECT_TRUE(net.until([&] { return net.calls == 2 && asks(net); }, 2000)) << "out of step, dialled anew";
-    EXPECT_NE(net.asked.find("after=2&"), std::string::npos) << net.asked;
-    const int client = net.client(opening());
-    const int host = net.host_accepts();
-    net.write(host, "UP x\r\n");
-    EXPECT_EQ(net.read(client), "UP x\r\n") << "the second list, of no hosts, was never asked for";
+    NodeHarness harness;
+    EXPECT_TRUE(harness.run_until([&] { return asks(harness); }));
+    harness.discovery_responses = {list(harness, 2, kAll, "up") + behind};
+    EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 2 && asks(harness); }, 2000))
+        << "out of step, dialled anew";
+    EXPECT_NE(harness.discovery_request.find("after=2&"), std::string::npos) << harness.discovery_request;
+    const int client = harness.connect_client(opening());
+    const int host = harness.accept_endpoint_connection();
+    harness.write(host, "UP x\r\n");
+    EXPECT_EQ(harness.read(client), "UP x\r\n") << "the second list, of no hosts, was never asked for";
   }
 }
 
 TEST(Crossings, WhereOnlyDrainsBindAHostCalledGoneIsStillSentTo) {
-  Net net(1024, true, [](Configuration& to) {
+  NodeHarness harness(1024, true, [](Configuration& to) {
     to.env["guarantees"]["drainBindsAlone"] = true;
     to.env["bounds"]["probes"] = true;
   });
-  net.answers = {Net::http(R"({"generation":2,"reset":true,"instances":[]})")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  const int client = net.client(opening());
+  harness.discovery_responses = {NodeHarness::http(R"({"generation":2,"reset":true,"instances":[]})")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  const int client = harness.connect_client(opening());
   std::string up;
-  EXPECT_TRUE(net.until([&] {  // probes and tries come to one listener
-    Socket taken(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
+  EXPECT_TRUE(harness.run_until([&] {  // probes and tries come to one listener
+    Socket taken(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
     if (taken)
-      net.keep(std::move(taken));
-    for (Socket& one : net.made) {
+      harness.keep_socket(std::move(taken));
+    for (Socket& one : harness.sockets) {
       std::string line;
       bool end = false;
-      if (!one || one.number() == client)
+      if (!one || one.descriptor() == client)
         continue;
       one.receive(line, 4096, end);
       if (line.starts_with("PING"))
@@ -319,31 +329,31 @@
         one.send("UP x\r\n", 6);
     }
     bool end = false;
-    net.socket(client).receive(up, 4096, end);
+    harness.socket(client).receive(up, 4096, end);
     return up == "UP x\r\n";
   })) << up;
 }
 
 TEST(Crossings, AProbeWhoseConnectionComesUpAfterItsHostDrainsIsNotSent) {
-  Net net(1024, true, [](Configuration& to) {
+  NodeHarness harness(1024, true, [](Configuration& to) {
     to.env["bounds"]["probes"] = true;
     to.env["bounds"]["dialTimeoutMs"] = 10000;
   });
-  Held held(net);
-  net.run(2500);  // all four are due by then, and held
-  net.answers = {list(net, 2, kAll, "draining")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  net.run(20);
+  Held held(harness);
+  harness.run_for(2500);  // all four are due by then, and held
+  harness.discovery_responses = {list(harness, 2, kAll, "draining")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  harness.run_for(20);
   held.let();
   std::string sent;
-  net.until(
+  harness.run_until(
       [&] {
-        Socket taken(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
+        Socket taken(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
         if (taken) {
-          net.keep(std::move(taken));
+          harness.keep_socket(std::move(taken));
         }
         bool end = false;
-        for (Socket& one : net.made) {
+        for (Socket& one : harness.sockets) {
           one.receive(sent, 4096, end);
         }
         return !sent.empty();
@@ -356,27 +366,28 @@
   for (const char* crossing : {"stop", "end", "drain", "drain once up"}) {
     SCOPED_TRACE(crossing);
     const std::string what = crossing;
-    Net net;
-    const int client = net.client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n");
-    const int host = net.host_accepts();
-    EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");
+    NodeHarness harness;
+    const int client = harness.connect_client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n");
+    const int host = harness.accept_endpoint_connection();
+    EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");
     if (what == "drain once up") {
-      net.write(host, "UP x\r\n");
-      EXPECT_EQ(net.read(client), "UP x\r\n");
+      harness.write(host, "UP x\r\n");
+      EXPECT_EQ(harness.read(client), "UP x\r\n");
     }
     if (what == "end") {
-      net.reset(client);
+      harness.reset(client);
     } else if (what == "stop") {
-      net.node->stop();
+      harness.node->stop();
     } else {
-      net.answers = {
-          Net::http(R"({"generation":2,"reset":false,"instances":[{"instanceId":"h2","hostPort":")" +
-                    Net::text_of(net.hosts_at) + R"(","zone":"near","lifecycle":"draining"}]})")};
+      harness.discovery_responses = {
+          NodeHarness::http(R"({"generation":2,"reset":false,"instances":[{"instanceId":"h2","hostPort":")" +
+                            NodeHarness::address_text(harness.endpoint_address) +
+                            R"(","zone":"near","lifecycle":"draining"}]})")};
     }
     if (what != "end") {
-      EXPECT_EQ(net.read(client, 6, 9000), "MOVE\r\n");
+      EXPECT_EQ(harness.read(client, 6, 9000), "MOVE\r\n");
     }
-    EXPECT_TRUE(net.ended(host));
+    EXPECT_TRUE(harness.is_closed_by_peer(host));
   }
 }
 
@@ -401,50 +412,52 @@
         }
         SCOPED_TRACE(a + (turn_between ? ", a turn, " : ", ") + b);
         ++played;
-        Net net(1024, true, [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
+        NodeHarness harness(1024, true,
+                            [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
         std::string line = opening();
         line.replace(line.find("d=2000"), 6, "d=250");
-        const int client = net.client(line);
-        const int host = net.host_accepts();
-        EXPECT_EQ(net.read(host).substr(0, 5), "OPEN ");
+        const int client = harness.connect_client(line);
+        const int host = harness.accept_endpoint_connection();
+        EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");
         const auto happens = [&](const std::string& what) {
           if (what == "client FIN") {
-            net.finish(client);
+            harness.shut_down_writing(client);
           }
           if (what == "client RST") {
-            net.reset(client);
+            harness.reset(client);
           }
           if (what == "UP" || what == "BUSY") {
-            net.socket(host).send((what + "\r\n").data(), what.size() + 2);
+            harness.socket(host).send((what + "\r\n").data(), what.size() + 2);
           }
           if (what == "host RST") {
-            net.reset(host);
+            harness.reset(host);
           }
           if (what == "drains") {
-            net.answers = {list(net, 2, kAll, "draining")}, net.turn();  // it goes out with a turn
+            harness.discovery_responses = {list(harness, 2, kAll, "draining")},
+            harness.run_once();  // it goes out with a turn
           }
           if (what == "SIGTERM") {
-            net.node->stop();
+            harness.node->stop();
           }
         };
         happens(a);
         if (turn_between) {
-          net.turn();
+          harness.run_once();
         }
         happens(b);
         const bool gone = has(a, "client") || has(b, "client");
         std::string got;
         bool end = false;
         int further = 0;
-        net.until([&] {
-          Socket taken(accept4(net.hosts.number(), nullptr, nullptr, SOCK_NONBLOCK));
+        harness.run_until([&] {
+          Socket taken(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
           if (taken) {
-            ++further, taken.send("BUSY\r\n", 6), net.keep(std::move(taken));
+            ++further, taken.send("BUSY\r\n", 6), harness.keep_socket(std::move(taken));
           }
-          return a == "client RST" || b == "client RST" || !net.socket(client).receive(got, 4096, end) ||
+          return a == "client RST" || b == "client RST" || !harness.socket(client).receive(got, 4096, end) ||
                  end || got.find('\n') != std::string::npos;
         });
-        net.run(30);
+        harness.run_for(30);
         const bool up = a == "UP" || b == "UP";
         const bool busy = a == "BUSY" || b == "BUSY";
         if (!busy) {
@@ -461,7 +474,7 @@
         }
         EXPECT_LE(std::count(got.begin(), got.end(), '\n'), up ? 2 : 1) << got;  // UP, and MOVE behind it
         if (gone && a != "host RST" && b != "host RST") {
-          EXPECT_TRUE(net.ended(host)) << "its host hears of the end";
+          EXPECT_TRUE(harness.is_closed_by_peer(host)) << "its host hears of the end";
         }
       }
     }
--- a/tests/node/health_checker_test.cpp
+++ b/tests/node/health_checker_test.cpp
@@ -9,22 +9,22 @@
 using namespace dapplewharf;
 
 TEST(HealthChecker, AnErrorAnswerGivesNoLatency) {
-  Net net;
+  NodeHarness harness;
   Counters counters;
   Limits limits;
   limits.connect_time = 5000;
   std::vector<TimePoint> answered;
-  HealthChecker checker(net.loop, counters, limits, [&](const std::string&, const HealthCheckResult& probed) {
-    answered.push_back(probed.latency);
-  });
-  checker.check("h", Net::text_of(net.hosts_at));
-  const int host = net.host_accepts();
+  HealthChecker checker(
+      harness.loop, counters, limits,
+      [&](const std::string&, const HealthCheckResult& probed) { answered.push_back(probed.latency); });
+  checker.check("h", NodeHarness::address_text(harness.endpoint_address));
+  const int host = harness.accept_endpoint_connection();
   for (const char* answer : {"ERR\r\n", "PONG\r\n"}) {
-    net.read(host);
-    net.run(5);
-    net.write(host, answer);
-    net.run(5);
-    checker.check("h", Net::text_of(net.hosts_at));
+    harness.read(host);
+    harness.run_for(5);
+    harness.write(host, answer);
+    harness.run_for(5);
+    checker.check("h", NodeHarness::address_text(harness.endpoint_address));
   }
   ASSERT_EQ(answered.size(), 2u);
   EXPECT_EQ(answered[0], 0);
--- a/tests/node/listener_test.cpp
+++ b/tests/node/listener_test.cpp
@@ -9,16 +9,16 @@
 using namespace dapplewharf;
 
 TEST(Listener, AnswersEveryClientWhenDescriptorsAreShort) {
-  Net net(64);
+  NodeHarness harness(64);
   std::vector<int> clients;
   for (int i = 0; i < 60; ++i) {
-    clients.push_back(net.client(request_line()));
+    clients.push_back(harness.connect_client(request_line()));
   }
   for (const int client : clients) {
-    EXPECT_EQ(net.read(client, 4, 3000).substr(0, 4), "BUSY");
+    EXPECT_EQ(harness.read(client, 4, 3000).substr(0, 4), "BUSY");
   }
   for (const int client : clients) {
-    net.reset(client);
+    harness.reset(client);
   }
-  EXPECT_EQ(net.read(net.client("PING\r\n")), "PONG\r\n");
+  EXPECT_EQ(harness.read(harness.connect_client("PING\r\n")), "PONG\r\n");
 }
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -10,47 +10,54 @@
 using namespace dapplewharf;
 
 TEST(Reload, TheCompleteListComesFromTheNewDiscovery) {
-  Net net;
-  const std::string h0 = R"([{"instanceId":"h0","hostPort":")" + Net::text_of(net.hosts_at) +
+  NodeHarness harness;
+  const std::string h0 = R"([{"instanceId":"h0","hostPort":")" +
+                         NodeHarness::address_text(harness.endpoint_address) +
                          R"(","zone":"near","lifecycle":"up"}])";
-  net.answers = {Net::http(R"({"generation":7,"reset":false,"instances":[]})")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  const int client = net.client(request_line());
-  const int host = net.host_accepts();
-  net.read(host);
-  net.write(host, "UP x\r\n");
-  net.read(client);
-  net.run(50);  // the watch is out at the old place, and has not been answered
+  harness.discovery_responses = {NodeHarness::http(R"({"generation":7,"reset":false,"instances":[]})")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  const int client = harness.connect_client(request_line());
+  const int host = harness.accept_endpoint_connection();
+  harness.read(host);
+  harness.write(host, "UP x\r\n");
+  harness.read(client);
+  harness.run_for(50);  // the watch is out at the old place, and has not been answered
   for (int i = 0; i < 3; ++i) {
-    net.moves_discovery();
+    harness.reload_with_new_discovery();
   }
-  EXPECT_TRUE(net.until([&] { return net.asked.find("\r\n\r\n") != std::string::npos; }, 300))
+  EXPECT_TRUE(
+      harness.run_until([&] { return harness.discovery_request.find("\r\n\r\n") != std::string::npos; }, 300))
       << "asked at once, not when the old call ends";
-  EXPECT_EQ(net.asked.substr(0, 18), "GET /api/targets H") << "versions there may be counted anew";
-  net.answers = {Net::http(R"({"generation":2,"reset":true,"instances":)" + h0 + "}")};
-  EXPECT_TRUE(net.until([&] { return net.answers.empty(); }));
-  EXPECT_TRUE(net.until([&] { return net.asked.find("after=2&") != std::string::npos; }, 150)) << net.asked;
-  net.write(client, "still here\r\n");
-  EXPECT_EQ(net.read(host), "still here\r\n");
+  EXPECT_EQ(harness.discovery_request.substr(0, 18), "GET /api/targets H")
+      << "versions there may be counted anew";
+  harness.discovery_responses = {
+      NodeHarness::http(R"({"generation":2,"reset":true,"instances":)" + h0 + "}")};
+  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
+  EXPECT_TRUE(
+      harness.run_until([&] { return harness.discovery_request.find("after=2&") != std::string::npos; }, 150))
+      << harness.discovery_request;
+  harness.write(client, "still here\r\n");
+  EXPECT_EQ(harness.read(host), "still here\r\n");
 }
 
 TEST(Reload, ANewDiscoveryThatDoesNotAnswerYetIsAskedAgainForTheCompleteList) {
-  Net net;
-  net.run(50);
-  net.moves_discovery();
-  const sockaddr_in there = net.discovery_at;
-  net.discovery.close();
-  net.run(400);
-  EXPECT_FALSE(listen_at(there, net.discovery));
-  EXPECT_TRUE(net.until([&] { return net.asked.find("\r\n\r\n") != std::string::npos; }, 3000));
-  EXPECT_EQ(net.asked.substr(0, 18), "GET /api/targets H");
+  NodeHarness harness;
+  harness.run_for(50);
+  harness.reload_with_new_discovery();
+  const sockaddr_in there = harness.discovery_address;
+  harness.discovery_listener.close();
+  harness.run_for(400);
+  EXPECT_FALSE(listen_on(there, harness.discovery_listener));
+  EXPECT_TRUE(harness.run_until(
+      [&] { return harness.discovery_request.find("\r\n\r\n") != std::string::npos; }, 3000));
+  EXPECT_EQ(harness.discovery_request.substr(0, 18), "GET /api/targets H");
 }
 
 TEST(Reload, AWrongFileIsRefusedWholeWithItsReason) {
   const char* path = "reload-story.json";
   const std::string sound =
       R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"a1","settings":)" +
-      Net().told.env.dump() + "}";
+      NodeHarness().configuration.env.dump() + "}";
   const auto reads = [&](const std::string& text) {
     std::ofstream(path) << text;
     return read_configuration(path, Source::file_only);
--- a/tests/node/request_handler_test.cpp
+++ b/tests/node/request_handler_test.cpp
@@ -7,20 +7,20 @@
 using namespace dapplewharf;
 
 TEST(RequestHandler, MigratesAConnectionWhoseLinesStayUnanswered) {
-  Net net;
-  const int client = net.client(request_line());
-  net.write(net.host_accepts(), "UP x\r\n");
-  net.read(client);
-  net.write(client, "hello\r\n");
-  EXPECT_EQ(net.read(client, 6, 5000), "MOVE\r\n");
+  NodeHarness harness;
+  const int client = harness.connect_client(request_line());
+  harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
+  harness.read(client);
+  harness.write(client, "hello\r\n");
+  EXPECT_EQ(harness.read(client, 6, 5000), "MOVE\r\n");
 }
 
 TEST(RequestHandler, AnAdoptedConnectionGoesToItsHostOrIsAnswered) {
-  Net net;
-  const int known = net.client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n");
-  const int host = net.host_accepts();
-  EXPECT_EQ(net.read(host).substr(0, 11), "OPEN 1 2 c=");
-  net.write(host, "UP x\r\n");
-  EXPECT_EQ(net.read(known), "UP x\r\n");
-  EXPECT_EQ(net.read(net.client("OPEN 3 2 c=plain,t=x,d=4294967,at=nobody\r\n")), "ERR\r\n");
+  NodeHarness harness;
+  const int known = harness.connect_client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n");
+  const int host = harness.accept_endpoint_connection();
+  EXPECT_EQ(harness.read(host).substr(0, 11), "OPEN 1 2 c=");
+  harness.write(host, "UP x\r\n");
+  EXPECT_EQ(harness.read(known), "UP x\r\n");
+  EXPECT_EQ(harness.read(harness.connect_client("OPEN 3 2 c=plain,t=x,d=4294967,at=nobody\r\n")), "ERR\r\n");
 }
--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -13,72 +13,72 @@
 
 namespace {
 
-PolicyAction typed(const Action& flat) {
+PolicyAction typed(const FlatAction& flat) {
   switch (flat.kind) {
-    case ActionKind::setup_try:
+    case ActionKind::start_attempt:
       return StartAttempt{flat.id, flat.host, flat.time};
-    case ActionKind::cancel_try:
+    case ActionKind::cancel_attempt:
       return CancelAttempt{flat.id, flat.number};
-    case ActionKind::reject:
+    case ActionKind::reject_request:
       return RejectRequest{flat.id, flat.time};
-    case ActionKind::scrap:
+    case ActionKind::fail_request:
       return FailRequest{flat.id};
-    case ActionKind::move:
+    case ActionKind::migrate_connection:
       return MigrateConnection{flat.id, flat.host};
-    case ActionKind::probe:
+    case ActionKind::check_health:
       return CheckHealth{flat.host};
-    case ActionKind::set_alarm:
+    case ActionKind::set_timer:
       return SetTimer{flat.number, flat.time};
-    case ActionKind::subscribe:
+    case ActionKind::watch_endpoints:
       return WatchEndpoints{};
-    case ActionKind::fetch_list:
+    case ActionKind::fetch_endpoints:
       return FetchEndpoints{};
-    case ActionKind::log:
+    case ActionKind::log_message:
       break;
   }
   return LogMessage{flat.text};
 }
 
-std::vector<PolicyAction> typed(const std::vector<Action>& flat) {
+std::vector<PolicyAction> typed(const std::vector<FlatAction>& flat) {
   std::vector<PolicyAction> actions;
-  for (const Action& action : flat) {
+  for (const FlatAction& action : flat) {
     actions.push_back(typed(action));
   }
   return actions;
 }
 
 // A fake fleet whose module is watched by a second one with settings of its own.
-struct Watched : Fake {
+struct Watched : LoadBalancerHarness {
   std::unique_ptr<Shadow> shadow;
   std::string actions;  // all that the real module did, in words
 
   void begin(int hosts, const SettingsMap& others) {
     shadow = std::make_unique<Shadow>(settings_from_map(others), 7, now);
-    node = std::make_unique<LoadBalancer>(settings_from_map(settings), 7, now);
-    Event list;
-    list.kind = EventKind::list_copy;
+    load_balancer = std::make_unique<LoadBalancer>(settings_from_map(settings), 7, now);
+    FlatEvent list;
+    list.kind = EventKind::endpoints_cached;
     for (int i = 0; i < hosts; ++i) {
-      list.listings.push_back(listing("h" + std::to_string(i)));
+      list.entries.push_back(endpoint_entry("h" + std::to_string(i)));
     }
-    tell(list);
+    send_event(list);
   }
-  const std::vector<Action>& tell(const Event& event) override {
-    Fake::tell(event);
+  const std::vector<FlatAction>& send_event(const FlatEvent& event) override {
+    LoadBalancerHarness::send_event(event);
     if (shadow) {
-      shadow->follow(now, {from_flat(event)}, typed(last));
+      shadow->follow(now, {from_flat(event)}, typed(last_actions));
     }
-    for (const Action& action : last) {
+    for (const FlatAction& action : last_actions) {
       actions += std::to_string(static_cast<int>(action.kind)) + " " + action.id + " " + action.host + " " +
                  std::to_string(action.time) + "\n";
     }
-    return last;
+    return last_actions;
   }
-  Event of(EventKind kind, const std::string& id) {
-    Event event;
+  FlatEvent of(EventKind kind, const std::string& id) {
+    FlatEvent event;
     event.kind = kind;
     event.id = id;
-    event.host = tries[id].empty() ? "" : tries[id].back();
-    event.number = static_cast<int>(tries[id].size()) - 1;
+    event.host = attempts[id].empty() ? "" : attempts[id].back();
+    event.number = static_cast<int>(attempts[id].size()) - 1;
     return event;
   }
 
@@ -86,55 +86,55 @@
   void day() {
     for (int i = 0; i < 120; ++i) {
       now += 2000;
-      Event alarm;
+      FlatEvent alarm;
       alarm.number = 1;
-      tell(alarm);
-      answer_probes();
+      send_event(alarm);
+      answer_health_checks();
       const std::string id = "a" + std::to_string(i);
-      Event wish = wish_of("");
+      FlatEvent wish = request_from_tenant("");
       wish.id = id;
-      wish.key = i;
-      wish.group = i % 7;
-      tell(wish);
-      if (i % 5 == 1 && !tries[id].empty()) {
-        Event bad = of(EventKind::try_ended, id);
+      wish.client_key = i;
+      wish.affinity_group = i % 7;
+      send_event(wish);
+      if (i % 5 == 1 && !attempts[id].empty()) {
+        FlatEvent bad = of(EventKind::attempt_ended, id);
         bad.outcome = Outcome::rejected;
-        tell(bad);
+        send_event(bad);
       }
-      if (tries[id].empty()) {
+      if (attempts[id].empty()) {
         continue;
       }
       if (i % 11 == 3) {
-        tell(of(EventKind::client_left, id));
-        Event gone = of(EventKind::try_ended, id);
+        send_event(of(EventKind::client_disconnected, id));
+        FlatEvent gone = of(EventKind::attempt_ended, id);
         gone.outcome = Outcome::cancelled, gone.final = true;
-        tell(gone);
+        send_event(gone);
         continue;
       }
-      Event up = of(EventKind::established, id);
-      up.took = 100;
-      tell(up);
+      FlatEvent up = of(EventKind::attempt_established, id);
+      up.duration = 100;
+      send_event(up);
       if (i % 3 == 0) {
-        Event over = of(EventKind::try_ended, id);
+        FlatEvent over = of(EventKind::attempt_ended, id);
         over.final = true;
-        tell(over);
+        send_event(over);
       }
       if (i == 60) {
-        Event change;
-        change.kind = EventKind::list_changes;
-        change.listings.push_back(listing("h1"));
-        change.listings.back().state = EndpointState::draining;
-        tell(change);
+        FlatEvent change;
+        change.kind = EventKind::endpoints_update;
+        change.entries.push_back(endpoint_entry("h1"));
+        change.entries.back().state = EndpointState::draining;
+        send_event(change);
       }
       if (i >= 80 && i < 84) {
-        Event late = of(EventKind::delay_told, id);
+        FlatEvent late = of(EventKind::latency_reported, id);
         late.figure = 600;
-        tell(late);
+        send_event(late);
       }
-      for (const std::string& one : std::exchange(moved, {})) {
-        Event end = of(EventKind::try_ended, one);
+      for (const std::string& one : std::exchange(migrated, {})) {
+        FlatEvent end = of(EventKind::attempt_ended, one);
         end.outcome = Outcome::cancelled, end.final = true;
-        tell(end);
+        send_event(end);
       }
     }
   }
@@ -207,51 +207,51 @@
   fleet.day();
   const std::uint64_t before =
       fleet.shadow->counts().other_endpoint;  // a weight at its largest tells of nothing held
-  Event change;
-  change.kind = EventKind::list_changes;
+  FlatEvent change;
+  change.kind = EventKind::endpoints_update;
   for (int i = 0; i < 6; ++i) {
-    change.listings.push_back(Fake::listing("h" + std::to_string(i)));
-    change.listings.back().size = i < 3 ? 0.02 : 0.5;
+    change.entries.push_back(LoadBalancerHarness::endpoint_entry("h" + std::to_string(i)));
+    change.entries.back().size = i < 3 ? 0.02 : 0.5;
   }
-  fleet.tell(change);
+  fleet.send_event(change);
   fleet.day();
   EXPECT_GT(fleet.shadow->counts().other_endpoint, before + 10) << fleet.shadow->counts().format();
 }
 
 TEST(Shadow, ANodeServesAsWithoutItAndCounts) {
-  Net net(1024, true, [](Configuration& to) {
+  NodeHarness harness(1024, true, [](Configuration& to) {
     to.shadow = to.env;
     (*to.shadow)["bounds"]["maxAttempts"] = 1;
   });
-  const int client = net.client(request_line());
+  const int client = harness.connect_client(request_line());
   for (int i = 0; i < 3; ++i) {
-    const int host = net.host_accepts();
-    net.read(host);
-    net.write(host, "BUSY\r\n");
+    const int host = harness.accept_endpoint_connection();
+    harness.read(host);
+    harness.write(host, "BUSY\r\n");
   }
-  const int host = net.host_accepts();
-  net.read(host);
-  net.write(host, "UP x\r\n");
-  EXPECT_EQ(net.read(client), "UP x\r\n");
-  ASSERT_TRUE(net.node->shadow());
-  EXPECT_EQ(net.node->shadow()->counts().same, 1u) << "the first try";
-  EXPECT_EQ(net.node->shadow()->counts().would_reject, 1u) << "the second";
+  const int host = harness.accept_endpoint_connection();
+  harness.read(host);
+  harness.write(host, "UP x\r\n");
+  EXPECT_EQ(harness.read(client), "UP x\r\n");
+  ASSERT_TRUE(harness.node->shadow());
+  EXPECT_EQ(harness.node->shadow()->counts().same, 1u) << "the first try";
+  EXPECT_EQ(harness.node->shadow()->counts().would_reject, 1u) << "the second";
   // A reload changes what is watched, or ends it; to begin takes a restart.
-  net.told.shadow = net.told.env;
-  net.node->reload({net.told, ""});
-  EXPECT_TRUE(net.node->shadow());
-  net.told.shadow.reset();
-  net.node->reload({net.told, ""});
-  EXPECT_FALSE(net.node->shadow());
-  net.told.shadow = net.told.env;
-  net.node->reload({net.told, ""});
-  EXPECT_FALSE(net.node->shadow());
-  net.write(client, "still here\r\n");
-  EXPECT_EQ(net.read(host), "still here\r\n");
+  harness.configuration.shadow = harness.configuration.env;
+  harness.node->reload({harness.configuration, ""});
+  EXPECT_TRUE(harness.node->shadow());
+  harness.configuration.shadow.reset();
+  harness.node->reload({harness.configuration, ""});
+  EXPECT_FALSE(harness.node->shadow());
+  harness.configuration.shadow = harness.configuration.env;
+  harness.node->reload({harness.configuration, ""});
+  EXPECT_FALSE(harness.node->shadow());
+  harness.write(client, "still here\r\n");
+  EXPECT_EQ(harness.read(host), "still here\r\n");
 }
 
 TEST(Shadow, AFileThatIsMissingOrWrongIsNamedWithItsPlace) {
-  const nlohmann::json env = Net().told.env;
+  const nlohmann::json env = NodeHarness().configuration.env;
   const std::string sound =
       R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"a1","settings":)" +
       env.dump() + "}";
--- a/tests/node/shutdown_test.cpp
+++ b/tests/node/shutdown_test.cpp
@@ -28,31 +28,31 @@
 }
 
 TEST(Shutdown, MigratesEstablishedConnectionsBetweenLinesAndEnds) {
-  Net net;
-  const int client = net.client(request_line());
-  const int host = net.host_accepts();
-  net.write(host, "UP x\r\nwhole\r\nhal");
-  EXPECT_EQ(net.read(client), "UP x\r\nwhole\r\n");
-  net.node->stop();
-  const int late = net.client(request_line());
-  net.write(net.host_accepts(), "UP late\r\n");
-  EXPECT_EQ(net.read(late), "UP late\r\n");
-  EXPECT_EQ(net.read(client, 6, 2000), "MOVE\r\n");
-  EXPECT_TRUE(net.ended(client));
-  EXPECT_TRUE(net.ended(host));
-  net.finish(client);
-  EXPECT_EQ(net.read(late, 6, 2000), "MOVE\r\n");
-  net.finish(late);
-  net.run(1000);
-  EXPECT_TRUE(net.node->done());
+  NodeHarness harness;
+  const int client = harness.connect_client(request_line());
+  const int host = harness.accept_endpoint_connection();
+  harness.write(host, "UP x\r\nwhole\r\nhal");
+  EXPECT_EQ(harness.read(client), "UP x\r\nwhole\r\n");
+  harness.node->stop();
+  const int late = harness.connect_client(request_line());
+  harness.write(harness.accept_endpoint_connection(), "UP late\r\n");
+  EXPECT_EQ(harness.read(late), "UP late\r\n");
+  EXPECT_EQ(harness.read(client, 6, 2000), "MOVE\r\n");
+  EXPECT_TRUE(harness.is_closed_by_peer(client));
+  EXPECT_TRUE(harness.is_closed_by_peer(host));
+  harness.shut_down_writing(client);
+  EXPECT_EQ(harness.read(late, 6, 2000), "MOVE\r\n");
+  harness.shut_down_writing(late);
+  harness.run_for(1000);
+  EXPECT_TRUE(harness.node->done());
 }
 
 TEST(Shutdown, AnswersALateClientBeforeTheEnd) {
-  Net net;
-  net.node->stop();
-  net.run(800);
-  const int late = net.client(request_line());  // no host ever says a word
-  EXPECT_EQ(net.read(late, 4, 1900).substr(0, 4), "BUSY");
-  net.finish(late);
-  EXPECT_TRUE(net.until([&] { return net.node->done(); }, 300));
+  NodeHarness harness;
+  harness.node->stop();
+  harness.run_for(800);
+  const int late = harness.connect_client(request_line());  // no host ever says a word
+  EXPECT_EQ(harness.read(late, 4, 1900).substr(0, 4), "BUSY");
+  harness.shut_down_writing(late);
+  EXPECT_TRUE(harness.run_until([&] { return harness.node->done(); }, 300));
 }
--- a/tests/policy/backoff_test.cpp
+++ b/tests/policy/backoff_test.cpp
@@ -19,11 +19,11 @@
     for (const Duration most : {Duration{0}, 200 * kMs, 560 * kMs, 7 * kSecond, INT64_MAX / 2}) {
       const Backoff backoff(nodes, most);
       for (int losses = 1; losses <= 100; ++losses) {
-        const Duration wait = backoff.again(losses, losses % 2 ? chance.share() : 0.999999);
+        const Duration wait = backoff.again(losses, losses % 2 ? chance.next_fraction() : 0.999999);
         EXPECT_GE(wait, 50 * kMs);
         EXPECT_LE(wait, std::max(most, 50 * kMs)) << "what the settings leave";
         EXPECT_LE(Backoff::kPatience + wait + Backoff::kTurn, kTold) << nodes << " nodes, losses " << losses;
-        EXPECT_LE(backoff.first(chance.share()) + Backoff::kTurn, kTold);
+        EXPECT_LE(backoff.first(chance.next_fraction()) + Backoff::kTurn, kTold);
       }
     }
   }
@@ -35,7 +35,7 @@
     Duration least = INT64_MAX;
     Duration most = 0;
     for (int node = 0; node < 350; ++node) {
-      const Duration wait = Backoff(350, INT64_MAX / 2).again(losses, chance.share());
+      const Duration wait = Backoff(350, INT64_MAX / 2).again(losses, chance.next_fraction());
       least = std::min(least, wait), most = std::max(most, wait);
     }
     EXPECT_GE(most * 10, least * 18) << "half of it is chance, after losses " << losses;
@@ -48,24 +48,24 @@
 TEST(Backoff, ANodeOfManyAsksSoonAfterItsStartAndAfterEachLoss) {
   for (const double nodes : {1.0, 30.0, 350.0}) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-      Fake fake;
-      fake.settings["nodes"] = nodes;
-      fake.settings["discovery"] = "on_request";
-      fake.settings["ask_within"] = 100000.0;
-      fake.start(3, seed);
+      LoadBalancerHarness harness;
+      harness.settings["nodes"] = nodes;
+      harness.settings["discovery"] = "on_request";
+      harness.settings["ask_within"] = 100000.0;
+      harness.start(3, seed);
       for (int lost = 0; lost < 12; ++lost) {
-        const TimePoint from = fake.now;
-        while (!fake.said(ActionKind::subscribe) && fake.now < from + kTold) {
-          fake.now += 100;
-          fake.tell(Event{});
+        const TimePoint from = harness.now;
+        while (!harness.has_action(ActionKind::watch_endpoints) && harness.now < from + kTold) {
+          harness.now += 100;
+          harness.send_event(FlatEvent{});
         }
-        EXPECT_LE(fake.now - from, 1600 * kMs) << nodes << " nodes, seed " << seed << ", losses " << lost;
+        EXPECT_LE(harness.now - from, 1600 * kMs) << nodes << " nodes, seed " << seed << ", losses " << lost;
         if (lost > 0) {
-          EXPECT_GE(fake.now - from, 50 * kMs);
+          EXPECT_GE(harness.now - from, 50 * kMs);
         }
-        Event event;
-        event.kind = EventKind::list_lost;
-        fake.tell(event);
+        FlatEvent event;
+        event.kind = EventKind::endpoint_watch_failed;
+        harness.send_event(event);
       }
     }
   }
@@ -76,40 +76,42 @@
 TEST(Backoff, AServiceThatIsBackIsHeardWithinTheTermHoweverItFailedBefore) {
   const std::string busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
   for (const char* how : {"refused", "reset", "busy", "silent"}) {
-    Net net(1024, true, [](Configuration& to) {
+    NodeHarness harness(1024, true, [](Configuration& to) {
       to.env["peersTotal"] = 350;
       to.env["guarantees"]["askWithinMs"] = 10000;
     });
     const std::string word = how;
-    const sockaddr_in there = net.discovery_at;
+    const sockaddr_in there = harness.discovery_address;
     if (word == "refused") {
-      net.discovery.close(), net.call.close(), net.asked.clear();
+      harness.discovery_listener.close(), harness.discovery_connection.close(),
+          harness.discovery_request.clear();
     }
-    const TimePoint down_until = net.loop.now() + 8 * kSecond;  // long enough for the longest wait
-    while (net.loop.now() < down_until) {
-      if (word == "reset" && !net.asked.empty()) {
-        net.call.abort(), net.asked.clear();
+    const TimePoint down_until = harness.loop.now() + 8 * kSecond;  // long enough for the longest wait
+    while (harness.loop.now() < down_until) {
+      if (word == "reset" && !harness.discovery_request.empty()) {
+        harness.discovery_connection.close_with_reset(), harness.discovery_request.clear();
       }
-      if (word == "busy" && net.answers.empty()) {
-        net.answers = {busy};
+      if (word == "busy" && harness.discovery_responses.empty()) {
+        harness.discovery_responses = {busy};
       }
-      net.turn();
+      harness.run_once();
     }
-    net.answers.clear();
+    harness.discovery_responses.clear();
     if (word == "refused") {
-      EXPECT_FALSE(listen_at(there, net.discovery));
+      EXPECT_FALSE(listen_on(there, harness.discovery_listener));
     }
     // What was asked while it was down stays without an answer, on a connection that stays up.
     if (word == "silent") {
-      net.keep(std::move(net.call)), net.call = Socket(), net.asked.clear();
+      harness.keep_socket(std::move(harness.discovery_connection)), harness.discovery_connection = Socket(),
+                                                                    harness.discovery_request.clear();
     }
-    const TimePoint back = net.loop.now();
-    const std::string list = Net::http(R"({"generation":2,"reset":true,"instances":[]})");
-    net.answers = {list};
-    EXPECT_TRUE(net.until([&] { return net.answers.empty(); }, 8000)) << how;
+    const TimePoint back = harness.loop.now();
+    const std::string list = NodeHarness::http(R"({"generation":2,"reset":true,"instances":[]})");
+    harness.discovery_responses = {list};
+    EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, 8000)) << how;
     // A watch may wait 3 s and is then given 1.5 s; what it missed is asked for at once.
     const Duration most = word == "silent" ? 4500 * kMs : Backoff::kPatience + Backoff::kLongest;
-    EXPECT_LE(net.loop.now() - back, most + 300 * kMs) << how;
+    EXPECT_LE(harness.loop.now() - back, most + 300 * kMs) << how;
     EXPECT_LT(most + 300 * kMs, kTold);
   }
 }
--- a/tests/policy/endpoint_test.cpp
+++ b/tests/policy/endpoint_test.cpp
@@ -9,155 +9,156 @@
 
 TEST(Drains, EveryWayOutOfTheListStopsNewWorkAtOnce) {
   for (const EndpointState state : {EndpointState::draining, EndpointState::removed}) {
-    Fake fake;
-    fake.start(2);
-    fake.list(Fake::listing("h0"), state);
-    for (int i = 0; i < 40; ++i, fake.now += 10000) {
-      EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h1");
+    LoadBalancerHarness harness;
+    harness.start(2);
+    harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), state);
+    for (int i = 0; i < 40; ++i, harness.now += 10000) {
+      EXPECT_EQ(harness.send_request("a" + std::to_string(i), i), "h1");
     }
   }
-  Fake fake;
-  fake.start(2);
-  Event whole;
-  whole.kind = EventKind::list_whole;
-  whole.listings.push_back(Fake::listing("h1"));
-  fake.tell(whole);
-  for (int i = 0; i < 40; ++i, fake.now += 10000) {
-    EXPECT_EQ(fake.arrive("a" + std::to_string(i), i), "h1");
+  LoadBalancerHarness harness;
+  harness.start(2);
+  FlatEvent whole;
+  whole.kind = EventKind::endpoints_snapshot;
+  whole.entries.push_back(LoadBalancerHarness::endpoint_entry("h1"));
+  harness.send_event(whole);
+  for (int i = 0; i < 40; ++i, harness.now += 10000) {
+    EXPECT_EQ(harness.send_request("a" + std::to_string(i), i), "h1");
   }
 }
 
 TEST(Drains, AMidFlowArrivalMayReachADrainingHostOnlyWithinTheGrace) {
-  Fake fake;
-  fake.start(1);
-  fake.list(Fake::listing("h0"), EndpointState::draining);
-  EXPECT_EQ(fake.arrive("a", 1, "plain", true), "h0");
-  fake.now += 10000;
-  EXPECT_EQ(fake.arrive("b", 1, "plain", true), "");
+  LoadBalancerHarness harness;
+  harness.start(1);
+  harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::draining);
+  EXPECT_EQ(harness.send_request("a", 1, "plain", true), "h0");
+  harness.now += 10000;
+  EXPECT_EQ(harness.send_request("b", 1, "plain", true), "");
 }
 
 TEST(Signals, ASilentHostFallsAndClimbsBackInSteps) {
-  Fake fake;
-  fake.start(5);
-  const std::string home = fake.arrive("a", 3);
-  fake.end("a", Outcome::succeeded, true);
-  fake.silent.insert(home);
-  fake.pass(40000);
-  EXPECT_NE(fake.arrive("b", 3), home);
-  fake.end("b", Outcome::succeeded, true);
-  fake.silent.clear();
-  fake.pass(200000);
-  EXPECT_EQ(fake.arrive("c", 3), home);
+  LoadBalancerHarness harness;
+  harness.start(5);
+  const std::string home = harness.send_request("a", 3);
+  harness.end_attempt("a", Outcome::succeeded, true);
+  harness.silent_endpoints.insert(home);
+  harness.advance_time(40000);
+  EXPECT_NE(harness.send_request("b", 3), home);
+  harness.end_attempt("b", Outcome::succeeded, true);
+  harness.silent_endpoints.clear();
+  harness.advance_time(200000);
+  EXPECT_EQ(harness.send_request("c", 3), home);
 }
 
 TEST(Signals, OneBadSetupAtAQuietNodeKeepsAHostAndThreeTakeItOutUntilItsProbesBringItBack) {
-  Fake fake;
-  fake.start(4);
-  const std::string home = fake.arrive("a", 3);
+  LoadBalancerHarness harness;
+  harness.start(4);
+  const std::string home = harness.send_request("a", 3);
   for (const char* id : {"b", "c", "d"}) {
-    EXPECT_EQ(fake.arrive(id, 3), home);
-    fake.end(id, Outcome::error);
-    fake.end(id, Outcome::succeeded, true);
+    EXPECT_EQ(harness.send_request(id, 3), home);
+    harness.end_attempt(id, Outcome::error);
+    harness.end_attempt(id, Outcome::succeeded, true);
   }
-  EXPECT_NE(fake.arrive("e", 3), home);
-  fake.end("e", Outcome::succeeded, true);
-  fake.pass(300000);
-  EXPECT_EQ(fake.arrive("f", 3), home);
+  EXPECT_NE(harness.send_request("e", 3), home);
+  harness.end_attempt("e", Outcome::succeeded, true);
+  harness.advance_time(300000);
+  EXPECT_EQ(harness.send_request("f", 3), home);
 }
 
 TEST(Looks, AHostNotProbedOfLateIsProbedFirstAndPassedWhenFull) {
-  Fake fake;
-  fake.settings["nodes"] = 400.0;
-  fake.settings["report.load"] = 0.0;
-  fake.start(4);
-  EXPECT_EQ(fake.arrive("a", 1), "") << "held until the probe has answered";
-  ASSERT_EQ(fake.probes.size(), 1u);
-  const std::string home = fake.probes.begin()->first;
-  Event answer;
-  answer.kind = EventKind::probe_ended;
+  LoadBalancerHarness harness;
+  harness.settings["nodes"] = 400.0;
+  harness.settings["report.load"] = 0.0;
+  harness.start(4);
+  EXPECT_EQ(harness.send_request("a", 1), "") << "held until the probe has answered";
+  ASSERT_EQ(harness.health_checks.size(), 1u);
+  const std::string home = harness.health_checks.begin()->first;
+  FlatEvent answer;
+  answer.kind = EventKind::health_check_ended;
   answer.host = home;
   answer.report = {0.9};
-  fake.tell(answer);
-  ASSERT_EQ(fake.probes.size(), 2u);
-  for (const Action& action : fake.last) {
-    if (action.kind == ActionKind::probe) {
+  harness.send_event(answer);
+  ASSERT_EQ(harness.health_checks.size(), 2u);
+  for (const FlatAction& action : harness.last_actions) {
+    if (action.kind == ActionKind::check_health) {
       answer.host = action.host;
     }
   }
   EXPECT_NE(answer.host, home);
   answer.report = {0.2};
-  fake.tell(answer);
-  EXPECT_EQ(fake.tries["a"], std::vector<std::string>{answer.host});
+  harness.send_event(answer);
+  EXPECT_EQ(harness.attempts["a"], std::vector<std::string>{answer.host});
 }
 
 TEST(Looks, AnAttachmentWhoseExpiryPassesMeanwhileIsAnsweredWithTheProbe) {
-  Fake fake;
-  fake.settings["nodes"] = 400.0;
-  fake.settings["report.load"] = 0.0;
-  fake.start(1);
-  fake.arrive("a", 1);
-  fake.now += 30000;
-  Event answer;
-  answer.kind = EventKind::probe_ended;
+  LoadBalancerHarness harness;
+  harness.settings["nodes"] = 400.0;
+  harness.settings["report.load"] = 0.0;
+  harness.start(1);
+  harness.send_request("a", 1);
+  harness.now += 30000;
+  FlatEvent answer;
+  answer.kind = EventKind::health_check_ended;
   answer.host = "h0";
-  fake.tell(answer);
-  EXPECT_TRUE(fake.said(ActionKind::reject, "a"));
+  harness.send_event(answer);
+  EXPECT_TRUE(harness.has_action(ActionKind::reject_request, "a"));
 }
 
 // As it was met: 22 ms left, a probe that took 40, the final answer 20 ms after the grace.
 TEST(Looks, AnAttachmentWithLittleTimeLeftIsNotHeldForAProbe) {
-  Fake fake;
-  fake.settings["report.load"] = 0.0;
-  fake.start(2);
-  fake.arrive("a", 1);
-  Event answer;
-  answer.kind = EventKind::probe_ended;
-  answer.host = fake.probes.begin()->first;
+  LoadBalancerHarness harness;
+  harness.settings["report.load"] = 0.0;
+  harness.start(2);
+  harness.send_request("a", 1);
+  FlatEvent answer;
+  answer.kind = EventKind::health_check_ended;
+  answer.host = harness.health_checks.begin()->first;
   answer.report = {0.2};
-  fake.tell(answer);
-  ASSERT_EQ(fake.tries["a"].size(), 1u);
-  fake.now += 30000 - 220;
-  fake.end("a", Outcome::error);
-  EXPECT_TRUE(fake.said(ActionKind::setup_try, "a") || fake.said(ActionKind::reject, "a"));
+  harness.send_event(answer);
+  ASSERT_EQ(harness.attempts["a"].size(), 1u);
+  harness.now += 30000 - 220;
+  harness.end_attempt("a", Outcome::error);
+  EXPECT_TRUE(harness.has_action(ActionKind::start_attempt, "a") ||
+              harness.has_action(ActionKind::reject_request, "a"));
 }
 
 TEST(Lists, WhereOnlyDrainsBindAHostCalledGoneServesOnWhileItsProbesDo) {
   for (const bool binds_alone : {true, false}) {
-    Fake fake;
-    fake.settings["drain_binds_alone"] = binds_alone ? 1.0 : 0.0;
-    fake.start(1);
-    fake.arrive("stands");
-    fake.stand("stands");
-    fake.list(Fake::listing("h0"), EndpointState::removed);
-    EXPECT_EQ(fake.arrive("a"), binds_alone ? "h0" : "");
-    fake.pass(20000);
-    EXPECT_EQ(fake.arrive("b"), binds_alone ? "h0" : "");
-    EXPECT_TRUE(!binds_alone || fake.moved.empty());
-    fake.silent.insert("h0");
-    fake.pass(20000);
-    EXPECT_EQ(fake.arrive("c"), "") << "the list and its probes agree";
+    LoadBalancerHarness harness;
+    harness.settings["drain_binds_alone"] = binds_alone ? 1.0 : 0.0;
+    harness.start(1);
+    harness.send_request("stands");
+    harness.establish("stands");
+    harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::removed);
+    EXPECT_EQ(harness.send_request("a"), binds_alone ? "h0" : "");
+    harness.advance_time(20000);
+    EXPECT_EQ(harness.send_request("b"), binds_alone ? "h0" : "");
+    EXPECT_TRUE(!binds_alone || harness.migrated.empty());
+    harness.silent_endpoints.insert("h0");
+    harness.advance_time(20000);
+    EXPECT_EQ(harness.send_request("c"), "") << "the list and its probes agree";
   }
 }
 
 TEST(Lists, ADrainBindsAlsoWhenTheHostIsCalledGoneAfterwards) {
-  Fake fake;
-  fake.settings["drain_binds_alone"] = 1.0;
-  fake.start(1);
-  fake.list(Fake::listing("h0"), EndpointState::draining);
-  fake.list(Fake::listing("h0"), EndpointState::removed);
-  fake.pass(30000);
-  EXPECT_EQ(fake.arrive("a"), "");
+  LoadBalancerHarness harness;
+  harness.settings["drain_binds_alone"] = 1.0;
+  harness.start(1);
+  harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::draining);
+  harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::removed);
+  harness.advance_time(30000);
+  EXPECT_EQ(harness.send_request("a"), "");
 }
 
 TEST(HealthChecker, WhereLittleComesAndLoadsAreReportedSteadyOnesAreFew) {
   std::map<double, int> sent;
   for (const double price : {0.0, 0.004}) {
-    Fake fake;
-    fake.settings["report.load"] = 0.0;
-    fake.settings["price_probe"] = price;
-    fake.start(12);
-    fake.pass(600000);
-    for (const auto& [host, probes] : fake.probes) {
+    LoadBalancerHarness harness;
+    harness.settings["report.load"] = 0.0;
+    harness.settings["price_probe"] = price;
+    harness.start(12);
+    harness.advance_time(600000);
+    for (const auto& [host, probes] : harness.health_checks) {
       sent[price] += probes;
     }
   }
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -32,25 +32,27 @@
   return n + 2 * std::sqrt(n) + 2;
 }
 
-std::unique_ptr<Fake> node_of(const Case& one, int me, std::uint64_t seed, TimePoint now) {
-  auto fake = std::make_unique<Fake>();
-  fake->settings["nodes"] = static_cast<double>(one.nodes), fake->settings["me"] = static_cast<double>(me);
-  fake->settings["cold_from"] = kFrom, fake->settings["cold_time"] = kColdTime;
-  fake->settings["fall_time"] = kFallTime, fake->settings["fall_multiple"] = kMultiple;
-  fake->settings["probes_allowed"] = 0.0;
-  fake->now = now;
-  fake->start(kWarm, seed * 1000 + static_cast<std::uint64_t>(me));
-  return fake;
+std::unique_ptr<LoadBalancerHarness> node_of(const Case& one, int me, std::uint64_t seed, TimePoint now) {
+  auto harness = std::make_unique<LoadBalancerHarness>();
+  harness->settings["nodes"] = static_cast<double>(one.nodes),
+  harness->settings["me"] = static_cast<double>(me);
+  harness->settings["cold_from"] = kFrom, harness->settings["cold_time"] = kColdTime;
+  harness->settings["fall_time"] = kFallTime, harness->settings["fall_multiple"] = kMultiple;
+  harness->settings["probes_allowed"] = 0.0;
+  harness->now = now;
+  harness->start(kWarm, seed * 1000 + static_cast<std::uint64_t>(me));
+  return harness;
 }
 
 Measured play(const Case& one, std::uint64_t seed) {
   RandomGenerator chance(seed);
   const TimePoint start = 1000000;
-  std::vector<std::unique_ptr<Fake>> nodes;
+  std::vector<std::unique_ptr<LoadBalancerHarness>> nodes;
   std::vector<double> part;  // of the traffic
   double parts = 0;
   for (int i = 0; i < one.nodes; ++i) {
-    part.push_back(one.even ? 1 : std::exp(3 * chance.share()));  // the busiest has twenty times the least
+    part.push_back(
+        one.even ? 1 : std::exp(3 * chance.next_fraction()));  // the busiest has twenty times the least
     parts += part.back();
   }
   std::map<std::string, int> held;
@@ -61,11 +63,11 @@
     nodes.push_back(node_of(one, i, seed, start));
     for (owed += kBorne * kWarm * part[static_cast<std::size_t>(i)] / parts; owed >= 1; --owed) {
       const std::string id = "s" + std::to_string(++number);
-      const std::string host = nodes.back()->arrive(id, number);
+      const std::string host = nodes.back()->send_request(id, number);
       if (host.empty()) {
         continue;
       }
-      nodes.back()->stand(id);
+      nodes.back()->establish(id);
       ++held[host], ++own[static_cast<std::size_t>(i)][host];
     }
   }
@@ -75,47 +77,49 @@
   for (TimePoint now = born; now < born + static_cast<Duration>(kColdTime); now += kTick) {
     const Duration age = now - born;
     for (int i = 0; i < one.nodes; ++i) {
-      auto& fake = nodes[static_cast<std::size_t>(i)];
+      auto& harness = nodes[static_cast<std::size_t>(i)];
       auto& mine = own[static_cast<std::size_t>(i)];
       // Seven in ten forget what they sent and hold, within the time and a second time later.
       if (one.restarts && i % 10 < 7 && (age == 5 * kTick || age == 40 * kTick)) {
-        fake = node_of(one, i, seed + 1, now);
+        harness = node_of(one, i, seed + 1, now);
         for (const auto& [host, count] : std::exchange(mine, {})) {
           held[host] -= count;
         }
-        fake->list(Fake::listing("cold", "near", born), EndpointState::healthy);
+        harness->update_endpoint(LoadBalancerHarness::endpoint_entry("cold", "near", born),
+                                 EndpointState::healthy);
       }
-      fake->now = now;
+      harness->now = now;
       if (age == 0) {
-        fake->list(Fake::listing("cold", "near", born), EndpointState::healthy);
+        harness->update_endpoint(LoadBalancerHarness::endpoint_entry("cold", "near", born),
+                                 EndpointState::healthy);
       }
       if (age % (5 * kTick) == 0) {
         for (const auto& [host, count] : held) {
-          fake->held(host, count - mine[host]);
+          harness->report_peer_connections(host, count - mine[host]);
         }
       }
       if (one.crowd && age % (5 * kTick) == 0) {  // a host with connections of this node is late all along
-        Event late;
-        late.kind = EventKind::delay_told, late.host = "h0", late.figure = 600;
-        fake->tell(late);
+        FlatEvent late;
+        late.kind = EventKind::latency_reported, late.host = "h0", late.figure = 600;
+        harness->send_event(late);
       }
-      fake->tell(Event{});  // an alarm
+      harness->send_event(FlatEvent{});  // an alarm
       // Twenty times as much comes as the cold host may have.
       const double comes = 20 * allowed(age) * kTick / kFallTime * part[static_cast<std::size_t>(i)] / parts;
       for (double left = comes; left > 0; --left) {
-        if (left < 1 && chance.share() >= left) {
+        if (left < 1 && chance.next_fraction() >= left) {
           break;
         }
         const std::string id = "t" + std::to_string(++number);
-        const std::string host = fake->arrive(id, number);
+        const std::string host = harness->send_request(id, number);
         if (host.empty()) {
           continue;
         }
         if (host == "cold") {
           sent.push_back(now), ++most.sent;
         }
-        fake->stand(id);
-        fake->end(id, Outcome::succeeded, true);
+        harness->establish(id);
+        harness->end_attempt(id, Outcome::succeeded, true);
       }
     }
     while (!sent.empty() && static_cast<double>(now - sent.front()) >= kFallTime) {
--- a/tests/support/flat_conversions.cpp
+++ b/tests/support/flat_conversions.cpp
@@ -44,17 +44,17 @@
   return found;
 }
 
-RequestAttributes request_of(const Event& event) {
+RequestAttributes request_of(const FlatEvent& event) {
   RequestAttributes to;
   to.id = event.id;
   to.traffic_type = event.traffic_type;
   to.tenant = event.tenant;
-  to.client_key = event.key;
-  to.affinity_group = event.group;
-  to.deadline = event.expiry;
-  to.is_mid_connection = event.mid_flow;
-  to.is_migrated = event.returned;
-  to.is_retry = event.repeated;
+  to.client_key = event.client_key;
+  to.affinity_group = event.affinity_group;
+  to.deadline = event.deadline;
+  to.is_mid_connection = event.is_mid_connection;
+  to.is_migrated = event.is_migrated;
+  to.is_retry = event.is_retry;
   return to;
 }
 
@@ -84,65 +84,67 @@
 
 }  // namespace
 
-PolicyEvent from_flat(const Event& event) {
+PolicyEvent from_flat(const FlatEvent& event) {
   switch (event.kind) {
-    case EventKind::list_copy:
-      return EndpointsCached{event.listings};
-    case EventKind::list_whole:
-      return EndpointsSnapshot{event.listings};
-    case EventKind::list_changes:
-      return EndpointsUpdate{event.listings};
-    case EventKind::list_lost:
+    case EventKind::endpoints_cached:
+      return EndpointsCached{event.entries};
+    case EventKind::endpoints_snapshot:
+      return EndpointsSnapshot{event.entries};
+    case EventKind::endpoints_update:
+      return EndpointsUpdate{event.entries};
+    case EventKind::endpoint_watch_failed:
       return EndpointWatchFailed{};
-    case EventKind::stopping:
-      return ShutdownStarted{event.expiry};
-    case EventKind::attachment:
+    case EventKind::shutdown_started:
+      return ShutdownStarted{event.deadline};
+    case EventKind::request_received:
       return RequestReceived{request_of(event)};
-    case EventKind::handed_over:
+    case EventKind::connection_adopted:
       return ConnectionAdopted{request_of(event), event.host, event.pending};
-    case EventKind::established:
-      return AttemptEstablished{event.id, event.host, event.number, event.took};
-    case EventKind::load_told:
+    case EventKind::attempt_established:
+      return AttemptEstablished{event.id, event.host, event.number, event.duration};
+    case EventKind::load_reported:
       return LoadReported{event.id, event.host, event.figure};
-    case EventKind::delay_told:
+    case EventKind::latency_reported:
       return LatencyReported{event.id, event.host, event.figure};
-    case EventKind::unanswered:
+    case EventKind::request_stalled:
       return RequestStalled{event.id, event.host, static_cast<Duration>(event.figure)};
-    case EventKind::try_ended:
-      return AttemptEnded{event.id, event.host, event.number, event.outcome, event.took, event.final};
-    case EventKind::client_left:
+    case EventKind::attempt_ended:
+      return AttemptEnded{event.id, event.host, event.number, event.outcome, event.duration, event.final};
+    case EventKind::client_disconnected:
       return ClientDisconnected{event.id};
-    case EventKind::alarm:
+    case EventKind::timer_fired:
       return TimerFired{event.number};
-    case EventKind::probe_ended:
-      return HealthCheckEnded{event.host, event.outcome, event.took, event.report};
-    case EventKind::peer_word:
+    case EventKind::health_check_ended:
+      return HealthCheckEnded{event.host, event.outcome, event.duration, event.report};
+    case EventKind::gossip_received:
       break;
   }
   return GossipReceived{event.host, event.figure < 0 ? std::nullopt : std::optional(event.figure)};
 }
 
-Action to_flat(const PolicyAction& action) {
+FlatAction to_flat(const PolicyAction& action) {
   return std::visit(
       Overloaded{
           [](const StartAttempt& a) {
-            return Action{ActionKind::setup_try, a.request_id, a.endpoint, "", 0, a.timeout};
+            return FlatAction{ActionKind::start_attempt, a.request_id, a.endpoint, "", 0, a.timeout};
           },
           [](const CancelAttempt& a) {
-            return Action{ActionKind::cancel_try, a.request_id, "", "", a.attempt, 0};
+            return FlatAction{ActionKind::cancel_attempt, a.request_id, "", "", a.attempt, 0};
           },
           [](const RejectRequest& a) {
-            return Action{ActionKind::reject, a.request_id, "", "", 0, a.retry_after};
+            return FlatAction{ActionKind::reject_request, a.request_id, "", "", 0, a.retry_after};
+          },
+          [](const FailRequest& a) {
+            return FlatAction{ActionKind::fail_request, a.request_id, "", "", 0, 0};
           },
-          [](const FailRequest& a) { return Action{ActionKind::scrap, a.request_id, "", "", 0, 0}; },
           [](const MigrateConnection& a) {
-            return Action{ActionKind::move, a.request_id, a.endpoint, "", 0, 0};
+            return FlatAction{ActionKind::migrate_connection, a.request_id, a.endpoint, "", 0, 0};
           },
-          [](const CheckHealth& a) { return Action{ActionKind::probe, "", a.endpoint, "", 0, 0}; },
-          [](const SetTimer& a) { return Action{ActionKind::set_alarm, "", "", "", a.timer, a.delay}; },
-          [](const WatchEndpoints&) { return Action{ActionKind::subscribe, "", "", "", 0, 0}; },
-          [](const FetchEndpoints&) { return Action{ActionKind::fetch_list, "", "", "", 0, 0}; },
-          [](const LogMessage& a) { return Action{ActionKind::log, "", "", a.text, 0, 0}; }},
+          [](const CheckHealth& a) { return FlatAction{ActionKind::check_health, "", a.endpoint, "", 0, 0}; },
+          [](const SetTimer& a) { return FlatAction{ActionKind::set_timer, "", "", "", a.timer, a.delay}; },
+          [](const WatchEndpoints&) { return FlatAction{ActionKind::watch_endpoints, "", "", "", 0, 0}; },
+          [](const FetchEndpoints&) { return FlatAction{ActionKind::fetch_endpoints, "", "", "", 0, 0}; },
+          [](const LogMessage& a) { return FlatAction{ActionKind::log_message, "", "", a.text, 0, 0}; }},
       action);
 }
 
--- a/tests/support/flat_conversions.h
+++ b/tests/support/flat_conversions.h
@@ -8,8 +8,8 @@
 
 namespace dapplewharf {
 
-PolicyEvent from_flat(const Event& event);
-Action to_flat(const PolicyAction& action);
+PolicyEvent from_flat(const FlatEvent& event);
+FlatAction to_flat(const PolicyAction& action);
 Settings settings_from_map(const SettingsMap& from);
 
 }  // namespace dapplewharf
--- a/tests/support/flat_events.h
+++ b/tests/support/flat_events.h
@@ -18,59 +18,59 @@
 using SettingsMap = std::map<std::string, std::variant<double, std::string>>;
 
 enum class EventKind {
-  list_copy,     // the list as this node last held it
-  list_whole,    // the complete list
-  list_changes,  // the entries that changed
-  list_lost,     // an inquiry failed or the subscription broke
-  stopping,      // this node is to end soon; what it holds has to go elsewhere
-  attachment,    // a client wants a connection
-  handed_over,   // a connection that was open when the node started
-  established,   // a setup try stands
-  load_told,     // a connection's load has changed
-  delay_told,    // messages at a host take this long
-  unanswered,    // a client's line on a standing connection has been unanswered for this long
-  try_ended,     // a setup try, or the connection it became, has ended
-  client_left,   // the client went away
-  alarm,
-  probe_ended,
-  peer_word
+  endpoints_cached,       // the list as this node last held it
+  endpoints_snapshot,     // the complete list
+  endpoints_update,       // the entries that changed
+  endpoint_watch_failed,  // an inquiry failed or the subscription broke
+  shutdown_started,       // this node is to end soon; what it holds has to go elsewhere
+  request_received,       // a client wants a connection
+  connection_adopted,     // a connection that was open when the node started
+  attempt_established,    // a setup try stands
+  load_reported,          // a connection's load has changed
+  latency_reported,       // messages at a host take this long
+  request_stalled,        // a client's line on a standing connection has been unanswered for this long
+  attempt_ended,          // a setup try, or the connection it became, has ended
+  client_disconnected,    // the client went away
+  timer_fired,
+  health_check_ended,
+  gossip_received
 };
 
-struct Event {
-  EventKind kind = EventKind::alarm;
-  std::string id;                          // attachment
-  std::string host;                        // host
-  std::string traffic_type, tenant;        // of an attachment
-  std::optional<std::int64_t> key, group;  // the client key; the group that shares work
-  TimePoint expiry = 0;                    // when the client gives up; of stopping: when all are answered
-  bool mid_flow = false, returned = false, repeated = false;
+struct FlatEvent {
+  EventKind kind = EventKind::timer_fired;
+  std::string id;                                          // attachment
+  std::string host;                                        // host
+  std::string traffic_type, tenant;                        // of an attachment
+  std::optional<std::int64_t> client_key, affinity_group;  // the client key; the group that shares work
+  TimePoint deadline = 0;  // when the client gives up; of stopping: when all are answered
+  bool is_mid_connection = false, is_migrated = false, is_retry = false;
   bool pending = false;  // of one handed over: its host has not brought it up again yet
   int number = 0;        // of the setup try, or of the alarm
   Outcome outcome = Outcome::succeeded;
-  Duration took = 0;
+  Duration duration = 0;
   bool final = false;
   // The load in microseconds of work a second, the delay or wait in tenths, or the connections that all other
   // nodes hold at the host, below 0 where that is unknown.
   double figure = 0;
-  std::vector<EndpointEntry> listings;
+  std::vector<EndpointEntry> entries;
   std::vector<double> report;
 };
 
 enum class ActionKind {
-  setup_try,   // id, host, time: its time-out
-  cancel_try,  // id, number
-  reject,      // id, time: when to come back
-  scrap,       // id
-  move,        // id
-  probe,       // host
-  set_alarm,   // number, time: from now
-  subscribe,
-  fetch_list,
-  log  // text
+  start_attempt,       // id, host, time: its time-out
+  cancel_attempt,      // id, number
+  reject_request,      // id, time: when to come back
+  fail_request,        // id
+  migrate_connection,  // id
+  check_health,        // host
+  set_timer,           // number, time: from now
+  watch_endpoints,
+  fetch_endpoints,
+  log_message  // text
 };
 
-struct Action {
-  ActionKind kind = ActionKind::log;
+struct FlatAction {
+  ActionKind kind = ActionKind::log_message;
   std::string id, host, text;
   int number = 0;
   Duration time = 0;
--- a/tests/wire/lines_test.cpp
+++ b/tests/wire/lines_test.cpp
@@ -10,16 +10,16 @@
 TEST(RequestLine, GivesWhatDecisionsNeedAndOnlyTheWaitIsRewritten) {
   const std::string line =
       "OPEN 9b1f03aa5c7e2d41 00000000000000ff c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59,again=1,h=3.5\r\n";
-  const Opened opened = opening_of(line, kSchema);
-  ASSERT_TRUE(opened.opening) << opened.fault;
-  EXPECT_EQ(opened.opening->traffic_type, "chat");
-  EXPECT_EQ(opened.opening->id, "9b1f03aa5c7e2d41");
-  EXPECT_EQ(opened.opening->key, 255);
-  EXPECT_EQ(opened.opening->wait, 20000);
-  EXPECT_TRUE(opened.opening->returned);
+  const ParsedRequestLine opened = parse_request_line(line, kSchema);
+  ASSERT_TRUE(opened.request_line) << opened.fault;
+  EXPECT_EQ(opened.request_line->traffic_type, "chat");
+  EXPECT_EQ(opened.request_line->id, "9b1f03aa5c7e2d41");
+  EXPECT_EQ(opened.request_line->key, 255);
+  EXPECT_EQ(opened.request_line->wait, 20000);
+  EXPECT_TRUE(opened.request_line->is_migrated);
   std::string changed = line;
-  EXPECT_EQ(with_wait(*opened.opening, 1234), changed.replace(line.find("2000"), 4, "123"));
-  EXPECT_TRUE(opening_of("OPEN 1 2 c=chat,t=acme,d=4294967,at=s-1\r\n", kSchema).opening);
+  EXPECT_EQ(with_wait(*opened.request_line, 1234), changed.replace(line.find("2000"), 4, "123"));
+  EXPECT_TRUE(parse_request_line("OPEN 1 2 c=chat,t=acme,d=4294967,at=s-1\r\n", kSchema).request_line);
 }
 
 TEST(RequestLine, IsRefusedWithAReasonWhenAnyPartIsWrong) {
@@ -52,8 +52,9 @@
                           "OPEN a b c=chat,t=acme,d=9,again=yes",
                           "OPEN a\x01 b c=chat,t=acme,d=9",
                           "open a b c=chat,t=acme,d=9"}) {
-    EXPECT_FALSE(opening_of(std::string(bad) + "\r\n", kSchema).fault.empty()) << bad;
+    EXPECT_FALSE(parse_request_line(std::string(bad) + "\r\n", kSchema).fault.empty()) << bad;
   }
-  EXPECT_FALSE(opening_of("OPEN a b c=chat,t=acme,d=9\n", kSchema).fault.empty()) << "a line ends with CRLF";
-  EXPECT_TRUE(opening_of("OPEN a b c=chat,t=acme,d=9\r\n", kSchema).fault.empty());
+  EXPECT_FALSE(parse_request_line("OPEN a b c=chat,t=acme,d=9\n", kSchema).fault.empty())
+      << "a line ends with CRLF";
+  EXPECT_TRUE(parse_request_line("OPEN a b c=chat,t=acme,d=9\r\n", kSchema).fault.empty());
 }
