--- a/src/base/event_loop.cpp
+++ b/src/base/event_loop.cpp
@@ -7,6 +7,8 @@
 #include <chrono>
 #include <thread>
 
+#include "base/log_events.h"
+
 namespace dapplewharf {
 namespace {
 
@@ -62,7 +64,7 @@
   try {
     what();
   } catch (const std::exception& error) {
-    spdlog::error("fault contained: {}", error.what());
+    spdlog::error("{}: {}", kFaultContainedEvent, error.what());
   }
 }
 
--- a/src/emulator/soak.cpp
+++ b/src/emulator/soak.cpp
@@ -12,6 +12,7 @@
 #include <map>
 #include <vector>
 
+#include "base/log_events.h"
 #include "emulator/model/chance.h"
 
 namespace dapplewharf::emulator {
@@ -70,21 +71,6 @@
   return text;
 }
 
-// The violations that the nodes counted themselves, by their own logs.
-int violations_in(const std::string& folder) {
-  int count = 0;
-  std::error_code fault;
-  for (const auto& entry : std::filesystem::directory_iterator(folder, fault)) {
-    std::ifstream in(entry.path());
-    for (std::string line; std::getline(in, line);) {
-      count += line.find("refused to ") != std::string::npos;
-      count += line.find("fault contained") != std::string::npos;
-      count += line.find("Sanitizer") != std::string::npos || line.find("runtime error") != std::string::npos;
-    }
-  }
-  return count;
-}
-
 Verdict play(const Soak& soak, std::uint64_t seed, const std::string& folder, std::string& told) {
   const Scenario scenario = scenario_of(soak_scenario_text(seed), fmt::format("soak seed {}", seed));
   LiveOptions options;
@@ -92,7 +78,7 @@
   options.system_faults = [seed](int node) { return soak_system_faults(seed, node); };
   const Result result = play_live(scenario, options);
   write_result(result, folder);
-  const int violations = violations_in(folder + "/parts");
+  const int violations = count_violations_in_logs(folder + "/parts");
   told = fmt::format("asked {}, up {}, refused {}, failed {}, moved {}, service {:.3f}, troubles {}",
                      result.totals.asked, result.totals.honoured, result.totals.rejected,
                      result.totals.scrapped, result.moved, result.service(), scenario.faults.size());
@@ -130,6 +116,20 @@
 
 }  // namespace
 
+int count_violations_in_logs(const std::string& folder) {
+  int count = 0;
+  std::error_code fault;
+  for (const auto& entry : std::filesystem::directory_iterator(folder, fault)) {
+    std::ifstream in(entry.path());
+    for (std::string line; std::getline(in, line);) {
+      count += is_rule_violation(line);
+      count += is_contained_fault(line);
+      count += line.find("Sanitizer") != std::string::npos || line.find("runtime error") != std::string::npos;
+    }
+  }
+  return count;
+}
+
 std::string soak_scenario_text(std::uint64_t seed) {
   Stream chance(seed, "soak");
   const int hosts = 6 + static_cast<int>(chance.index(7));
--- a/src/emulator/soak.h
+++ b/src/emulator/soak.h
@@ -19,6 +19,10 @@
 std::string soak_scenario_text(std::uint64_t seed);
 std::string soak_system_faults(std::uint64_t seed, int node);
 
+/// Counts the lines in the files of a folder of nodes' logs that report a fault of the node: steps that its
+/// request ledger refused, exceptions that its event loop caught, and findings of a sanitizer.
+int count_violations_in_logs(const std::string& folder);
+
 // One line a seed, and a last one that counts. Returns the exit code: 0 good, 1 a run failed, 3 a rule was
 // broken.
 int run_soak(const Soak& soak);
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -5,6 +5,8 @@
 
 #include <algorithm>
 
+#include "base/log_events.h"
+
 namespace dapplewharf {
 namespace {
 
@@ -322,8 +324,8 @@
                                       std::optional<Violation> violation) {
   ++counters_.rule_violations;
   const Request* request = find(id);
-  spdlog::error("rule_violation operation=\"{}\" request={} violation=\"{}\"", operation,
-                request ? request->client_id : id, violation ? name_of(*violation) : "none");
+  spdlog::error("{}", format_rule_violation(operation, request ? request->client_id : id,
+                                            violation ? name_of(*violation) : "none"));
 }
 
 // ---- adopted connections ----
