--- a/src/emulator/env.cpp
+++ b/src/emulator/env.cpp
@@ -7,11 +7,12 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr double kQuota = 0.85;  // of what the hosts can do that tenants' shares grant in all
+/// The share of the endpoints' total capacity that is divided among the tenants as quotas.
+constexpr double kTenantQuotaShare = 0.85;
 
 }  // namespace
 
-json env_of(const Scenario& scenario, const Plan& plan, int node) {
+json make_node_settings(const Scenario& scenario, const Plan& plan, int node) {
   json lanes = json::array();
   json realms = json::array();
   json goals = json::array();
@@ -35,7 +36,8 @@
   }
   for (const Tenant& tenant : scenario.tenants) {
     realms.push_back({{"name", tenant.name}, {"portion", tenant.share}, {"quotaPerS", 0.0}});
-    quotas.push_back(std::floor(tenant.share * kQuota * cores * scenario.per_core / plan.mean_load));
+    quotas.push_back(
+        std::floor(tenant.share * kTenantQuotaShare * cores * scenario.per_core / plan.mean_load));
   }
   return {{"bounds",
            {{"cancel", true},
--- a/src/emulator/env.h
+++ b/src/emulator/env.h
@@ -1,4 +1,4 @@
-// A scenario in the platform's words: the settings that a node is configured with. Pure; knows no addresses.
+// The settings that a scenario's node is configured with, in the form that the platform sends.
 #pragma once
 #include <nlohmann/json.hpp>
 
@@ -6,6 +6,7 @@
 
 namespace dapplewharf::emulator {
 
-nlohmann::json env_of(const Scenario& scenario, const Plan& plan, int node);
+/// The settings of one node; without addresses.
+nlohmann::json make_node_settings(const Scenario& scenario, const Plan& plan, int node);
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/live/live.cpp
+++ b/src/emulator/live/live.cpp
@@ -293,7 +293,7 @@
         {"seed", hex(options_.seed * 1000 + static_cast<std::uint64_t>(n))},
         {"limits", {{"cores", 1.0}, {"memory_mb", scenario_.memory_mb}, {"sockets", scenario_.descriptors}}},
         {"known", {{"generation", 1}, {"reset", true}, {"instances", instances}}},
-        {"settings", env_of(scenario_, plan_, n)}};
+        {"settings", make_node_settings(scenario_, plan_, n)}};
     write_file(fmt::format("{}/node-{}.json", folder_, n), config.dump(1));
   }
 
--- a/src/emulator/sim/node_simulator.cpp
+++ b/src/emulator/sim/node_simulator.cpp
@@ -32,7 +32,7 @@
   ++node.incarnation;
   std::fill(node.established.begin(), node.established.end(), 0);
   std::fill(node.slow_endpoints.begin(), node.slow_endpoints.end(), false);
-  const nlohmann::json environment = env_of(state_.scenario, state_.plan, static_cast<int>(index));
+  const nlohmann::json environment = make_node_settings(state_.scenario, state_.plan, static_cast<int>(index));
   const Settings settings = parse_platform_settings(environment);
   const std::uint64_t seed =
       XXH64(&index, sizeof index, state_.seed + static_cast<std::uint64_t>(node.incarnation));
