--- a/src/emulator/live/endpoint_connections.cpp
+++ b/src/emulator/live/endpoint_connections.cpp
@@ -16,17 +16,17 @@
 
 using Phase = EndpointConnection::Phase;
 
-constexpr std::size_t kMostBuffered = 64 * 1024;  // bytes held for a peer that does not read
-constexpr std::size_t kReadSize = 16 * 1024;      // bytes
-constexpr double kMicroseconds = 1e6;             // in a second
+constexpr std::size_t kMaxBufferedBytes = 64 * 1024;  // for a peer that does not read
+constexpr std::size_t kReadBytes = 16 * 1024;
+constexpr double kMicrosecondsPerSecond = 1e6;
 
-// OPEN, a request id and a client key, with blanks between.
+// A request line: OPEN, a request id and a client key, separated by blanks.
 constexpr std::size_t kRequestIdAt = 5;
 constexpr std::size_t kIdLength = 16;
 constexpr std::size_t kClientKeyAt = kRequestIdAt + kIdLength + 1;
 constexpr std::size_t kShortestRequest = kClientKeyAt + kIdLength;
 
-// Streams of draws, each by what it belongs to.
+// Salts that separate the random draws for different purposes.
 constexpr std::uint64_t kMessageDraw = 3;
 constexpr std::uint64_t kSetupWorkDraw = 5;
 constexpr std::uint64_t kHealthCheckDraw = 7;
@@ -62,7 +62,7 @@
   update_interest(handle, connection);
 }
 
-// Reads all that is there, so that an end is seen before what came ahead of it is begun.
+// Reads all available bytes before handling a line, so that no request is begun whose connection has ended.
 void EndpointConnections::receive(Handle handle) {
   EndpointConnection* connection = rig_.connections.find(handle);
   if (!connection || !reads(*connection)) {
@@ -70,14 +70,14 @@
   }
   for (;;) {
     bool ended = false;
-    const auto received = connection->socket.receive(connection->received, kReadSize, ended);
+    const auto received = connection->socket.receive(connection->received, kReadBytes, ended);
     if (!received || ended) {
       return remove(handle);
     }
     if (*received == 0) {
       break;
     }
-    if (connection->received.size() > kMostBuffered) {
+    if (connection->received.size() > kMaxBufferedBytes) {
       return remove(handle);
     }
   }
@@ -95,7 +95,7 @@
 
 void EndpointConnections::handle_line(Handle handle, EndpointConnection& connection,
                                       const std::string& line) {
-  EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   endpoint.model.advance(rig_.process.now());
   if (connection.phase == Phase::established) {
     const bool crosses = rig_.crosses_zones(connection.endpoint, connection.node);
@@ -143,16 +143,16 @@
   rig_.process.record(RecordKind::attempt_received, connection.request_id, connection.node,
                       connection.endpoint);
   const bool crosses = rig_.crosses_zones(connection.endpoint, connection.node);
-  const Duration way = crosses ? from_milliseconds(3 * rig_.scenario.cross_ms) : 0;
-  if (way > 0) {
-    run_later(handle, way, [this, handle] { admit_setup(handle); });
+  const Duration transit_time = crosses ? from_milliseconds(3 * rig_.scenario.cross_ms) : 0;
+  if (transit_time > 0) {
+    run_later(handle, transit_time, [this, handle] { admit_setup(handle); });
   } else {
     admit_setup(handle);
   }
 }
 
-// An earlier attempt of the request that its node has ended would still count as out where its endpoint does
-// not read or has not read that end yet.
+// Records the end of an earlier attempt of the request that its node has closed. Without it the attempt would
+// count as in progress while its endpoint does not read, or has not read the end yet.
 void EndpointConnections::record_earlier_end(const std::string& request_id) {
   const auto found = latest_attempts_.find(request_id);
   EndpointConnection* earlier =
@@ -171,7 +171,7 @@
 
 void EndpointConnections::admit_setup(Handle handle) {
   EndpointConnection& connection = *rig_.connections.find(handle);
-  EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   endpoint.model.advance(rig_.process.now());
   if (refuse_setup(handle, connection)) {
     return;
@@ -195,7 +195,7 @@
 }
 
 bool EndpointConnections::refuse_setup(Handle handle, EndpointConnection& connection) {
-  const EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   if (endpoint.draining || endpoint.model.full()) {
     record_attempt_end(connection, false);
     send_and_close(handle, "BUSY\r\n");
@@ -219,7 +219,7 @@
 }
 
 void EndpointConnections::answer_health_check(Handle handle, const EndpointConnection& connection) {
-  const EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   rig_.process.record(RecordKind::health_check, "", connection.endpoint);
   if (chance_of(std::to_string(++health_checks_), kHealthCheckDraw) < endpoint.failing_share) {
     return send(handle, "ERR\r\n");
@@ -231,7 +231,7 @@
 }
 
 void EndpointConnections::schedule_setup_work(int index) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   if (endpoint.setups.empty() || endpoint.condition != EndpointCondition::up) {
     return;
   }
@@ -239,7 +239,7 @@
 }
 
 void EndpointConnections::do_setup_work(int index) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   if (endpoint.condition != EndpointCondition::up) {
     return;
   }
@@ -259,7 +259,7 @@
 }
 
 void EndpointConnections::establish(Handle handle, EndpointConnection& connection) {
-  EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   connection.setup.reset();
   connection.phase = Phase::established;
   record_attempt_end(connection, true);
@@ -294,13 +294,13 @@
   if (!connection || connection->phase != Phase::established) {
     return;
   }
-  EndpointStandIn& endpoint = rig_.endpoint(connection->endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection->endpoint);
   const double load = current_load(*connection);
   endpoint.model.advance(rig_.process.now());
   endpoint.model.load_changes(load - connection->load);
   connection->load = load;
   schedule_load_change(handle, *connection);
-  send(handle, fmt::format("LOAD {:.1f}\r\n", load / rig_.scenario.per_core * kMicroseconds));
+  send(handle, fmt::format("LOAD {:.1f}\r\n", load / rig_.scenario.per_core * kMicrosecondsPerSecond));
 }
 
 void EndpointConnections::record_attempt_end(const EndpointConnection& connection, bool may_have_run) {
@@ -335,7 +335,7 @@
 
 void EndpointConnections::send(Handle handle, const std::string& line) {
   EndpointConnection* connection = rig_.connections.find(handle);
-  if (!connection || connection->unsent.size() > kMostBuffered) {
+  if (!connection || connection->unsent.size() > kMaxBufferedBytes) {
     return;
   }
   connection->unsent += line;
@@ -385,7 +385,7 @@
   if (!connection) {
     return;
   }
-  EndpointStandIn& endpoint = rig_.endpoint(connection->endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection->endpoint);
   if (connection->incarnation == endpoint.incarnation) {
     endpoint.model.advance(rig_.process.now());
     --endpoint.open_connections;
@@ -421,7 +421,7 @@
 }
 
 void EndpointConnections::send_away(int index, double share) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   const auto count =
       static_cast<std::ptrdiff_t>(std::ceil(static_cast<double>(endpoint.established.size()) * share));
   const std::vector<Handle> leaving(endpoint.established.begin(), endpoint.established.begin() + count);
@@ -435,7 +435,7 @@
   }
 }
 
-// Does nothing if the connection has gone by then or its endpoint has restarted.
+// Does nothing if the connection has been closed or its endpoint has restarted by then.
 void EndpointConnections::run_later(Handle handle, Duration delay, std::function<void()> action) {
   const EndpointConnection* connection = rig_.connections.find(handle);
   const int incarnation = connection->incarnation;
--- a/src/emulator/live/endpoint_connections.h
+++ b/src/emulator/live/endpoint_connections.h
@@ -1,6 +1,7 @@
-// The connections of nodes to the endpoint stand-ins: the published protocol around the model of an endpoint.
-// Changes connections and endpoints in the shared state and records what hosts see; never knows what a client
-// asked for beyond the line that a node sent. See docs/emulator.md.
+// The connections of nodes to the emulated endpoints: speaks the published protocol on them and takes loads
+// and delays from the model of an endpoint. Changes connections and endpoints in the shared state and records
+// what the endpoints observe; of a client's request it knows only the line that the node sent. See
+// docs/emulator.md.
 #pragma once
 #include <functional>
 #include <map>
@@ -17,16 +18,16 @@
   /// Takes over a connection that a listener has accepted.
   void add(Socket socket, int endpoint, int node);
 
-  /// Reads and writes an endpoint's connections, or no longer, as its condition and the cut links have it.
+  /// Starts or stops reading and writing on an endpoint's connections, by its condition and the cut links.
   void update_interest(int endpoint);
 
-  /// Schedules the next look at an endpoint's setup queue.
+  /// Schedules the next work on an endpoint's setup queue.
   void schedule_setup_work(int endpoint);
 
   /// Resets all connections to an endpoint.
   void reset_all(int endpoint);
 
-  /// Tells the oldest established connections of an endpoint to move.
+  /// Sends MOVE on the oldest established connections of an endpoint and closes them.
   /// @param share of them, from 0 to 1; rounded up to whole connections.
   void send_away(int endpoint, double share);
 
--- a/src/emulator/live/endpoint_faults.cpp
+++ b/src/emulator/live/endpoint_faults.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Duration kDrainStepInterval = 500 * kMs;
-constexpr double kDrainStepShare = 0.2;  // of the connections that are left
-constexpr double kNeverBackS = 1e5;      // longer than any run
+constexpr double kDrainStepShare = 0.2;  // of the remaining connections
+constexpr double kLongerThanAnyRunS = 1e5;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
   const PlannedFault& planned = rig_.plan.faults[index];
   const Fault& fault = planned.fault;
   const int endpoint_index = planned.hosts[position];
-  EndpointStandIn& endpoint = rig_.endpoint(endpoint_index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(endpoint_index);
   const bool begins = change == Change::begins;
   endpoint.model.advance(rig_.process.now());
   switch (fault.kind) {
@@ -167,7 +167,7 @@
   const Fault& fault = planned.fault;
   const bool over = rig_.process.now() >= from_seconds(fault.at_s + fault.for_s);
   for (const int number : planned.hosts) {
-    EndpointStandIn& endpoint = rig_.endpoint(number);
+    EmulatedEndpoint& endpoint = rig_.endpoint(number);
     endpoint.model.advance(rig_.process.now());
     endpoint.model.taken = active && !over ? fault.size : 0;
     parts_.connections.schedule_setup_work(number);
@@ -182,11 +182,11 @@
 
 void EndpointFaults::fall_over(int index) {
   rig_.endpoint(index).overwhelmed = true;
-  take_away(index, EndpointCondition::down, kNeverBackS, rig_.scenario.list_late_s);
+  take_away(index, EndpointCondition::down, kLongerThanAnyRunS, rig_.scenario.list_late_s);
 }
 
 void EndpointFaults::take_away(int index, EndpointCondition how, double away_s, double noticed_after_s) {
-  const EndpointStandIn& endpoint = rig_.endpoint(index);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(index);
   if (endpoint.condition != EndpointCondition::up && endpoint.condition != EndpointCondition::silent) {
     return;
   }
@@ -204,7 +204,7 @@
 }
 
 void EndpointFaults::restart(int index, int incarnation) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   if (endpoint.incarnation != incarnation || endpoint.overwhelmed) {
     return;
   }
@@ -224,7 +224,7 @@
 }
 
 void EndpointFaults::begin_drain(std::size_t fault_index, int index) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   const Fault& fault = rig_.plan.faults[fault_index].fault;
   if (endpoint.condition != EndpointCondition::up) {
     return;
@@ -242,7 +242,7 @@
 }
 
 void EndpointFaults::drain_step(int index, int incarnation) {
-  const EndpointStandIn& endpoint = rig_.endpoint(index);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(index);
   const bool drains = endpoint.draining && endpoint.condition == EndpointCondition::up;
   if (endpoint.incarnation != incarnation || !drains || endpoint.established.empty()) {
     return;
--- a/src/emulator/live/endpoint_faults.h
+++ b/src/emulator/live/endpoint_faults.h
@@ -1,4 +1,4 @@
-// Applies the planned faults to the endpoint stand-ins: silence, slowness, restarts, drains and cut links.
+// Applies the planned faults to the emulated endpoints: silence, slowness, restarts, drains and cut links.
 // Changes endpoints in the shared state. See docs/emulator.md, and docs/scenario.md for the kinds.
 #pragma once
 #include "emulator/live/endpoint_rig.h"
@@ -12,7 +12,7 @@
   /// Schedules all faults of the plan, and the endpoints that join during the run.
   void schedule_plan();
 
-  /// An endpoint has got too much load while cold; it goes down for the rest of the run.
+  /// Takes an endpoint that was overloaded while cold down for the rest of the run.
   void fall_over(int endpoint);
 
  private:
--- a/src/emulator/live/endpoint_list_server.cpp
+++ b/src/emulator/live/endpoint_list_server.cpp
@@ -13,8 +13,8 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr std::size_t kMostReceived = 64 * 1024;  // bytes of a call
-constexpr long kLongestWaitMs = 60000;
+constexpr std::size_t kMaxCallBytes = 64 * 1024;
+constexpr long kMaxWaitMs = 60000;
 
 /// The name of a state on the wire.
 const char* lifecycle_name(EndpointState state) {
@@ -29,7 +29,7 @@
   return "removed";
 }
 
-/// The number behind `name` in a request line, or -1 where it has none.
+/// The number that follows `name` in a request line, or -1 if the name is missing.
 long parameter(const std::string& request_line, const std::string& name) {
   const std::size_t at = request_line.find(name);
   return at == std::string::npos ? -1L : std::strtol(request_line.c_str() + at + name.size(), nullptr, 10);
@@ -73,7 +73,7 @@
     return;
   }
   bool ended = false;
-  const auto received = call->socket.receive(call->received, kMostReceived, ended);
+  const auto received = call->socket.receive(call->received, kMaxCallBytes, ended);
   if (!received || ended) {
     return hang_up(handle);
   }
@@ -88,7 +88,7 @@
 
 void EndpointListServer::handle_request(Handle handle, Call& call, const std::string& request_line) {
   call.known_version = parameter(request_line, "after=");
-  const long wait_ms = std::clamp(parameter(request_line, "wait_ms="), 0L, kLongestWaitMs);
+  const long wait_ms = std::clamp(parameter(request_line, "wait_ms="), 0L, kMaxWaitMs);
   call.waits_for_change = call.known_version >= 0 && call.known_version == version_;
   const double delay_ms = call.waits_for_change ? static_cast<double>(wait_ms) : rig_.scenario.list_call_ms;
   EventLoop& loop = rig_.process.loop();
@@ -107,7 +107,7 @@
 }
 
 void EndpointListServer::publish(int index, EndpointState state) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   endpoint.published = state;
   endpoint.listed = state != EndpointState::removed;
   ++version_;
@@ -130,7 +130,7 @@
 }
 
 nlohmann::json EndpointListServer::entry(int index, int node) const {
-  const EndpointStandIn& endpoint = rig_.endpoint(index);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(index);
   const PlannedHost& planned = rig_.planned(index);
   return {{"instanceId", planned.id},
           {"hostPort", rig_.process.addresses().host(index, node)},
@@ -169,10 +169,10 @@
   call->waits_for_change = false;
   rig_.process.loop().cancel(call->answer_due);
   const TimePoint notified_at = rig_.process.current_time();
-  // The list is small against a socket's buffer: a call that does not take it at once is broken.
+  // The list is much smaller than a socket's buffer, so a call that does not take it at once is broken.
   const auto sent = call->socket.send(response.data(), response.size());
   for (const int index : notified) {
-    const EndpointStandIn& endpoint = rig_.endpoint(index);
+    const EmulatedEndpoint& endpoint = rig_.endpoint(index);
     const bool leaving = !endpoint.listed || endpoint.published != EndpointState::healthy;
     rig_.process.records().add(notified_at, RecordKind::endpoint_reported, "", call->node, index, leaving);
   }
--- a/src/emulator/live/endpoint_list_server.h
+++ b/src/emulator/live/endpoint_list_server.h
@@ -1,6 +1,6 @@
-// The stand-in for the endpoint list service: long polls over HTTP, one listener for each node. Owns its
-// listeners, its clients' connections and the list's version; records when a node has been notified. See
-// docs/emulator.md.
+// Emulates the endpoint list service: long polls over HTTP, with one listener for each node. Owns the
+// listeners, the connections of the nodes' calls and the version of the list; records when a node has been
+// notified. See docs/emulator.md.
 #pragma once
 #include <nlohmann/json_fwd.hpp>
 #include <string>
@@ -20,12 +20,12 @@
   /// Publishes an endpoint's state after `delay_s` seconds and the server's extra delay.
   void publish_later(int endpoint, EndpointState state, double delay_s);
 
-  /// Changes the server's extra delay by so many seconds.
+  /// Changes the server's extra delay by `change_s` seconds.
   void change_delay(double change_s) { extra_delay_s_ += change_s; }
 
-  /// Begins one more outage: nothing listens and open calls are closed.
+  /// Begins an outage, also during others: closes the listeners and all calls.
   void begin_outage();
-  /// Ends one outage; the server listens again after the last one.
+  /// Ends an outage; the server listens again once all outages have ended.
   void end_outage();
 
  private:
@@ -34,7 +34,7 @@
     Handle watched;
     int node = 0;
     std::string received;
-    long known_version = -1;  // as the caller says; below 0: it says none
+    long known_version = -1;  // as the call states it; below 0 if it states none
     bool waits_for_change = false;
     EventLoop::Deadline answer_due;
   };
--- a/src/emulator/live/endpoint_listeners.cpp
+++ b/src/emulator/live/endpoint_listeners.cpp
@@ -46,8 +46,8 @@
   return vanished || rig_.responses_lost(endpoint, node);
 }
 
-// Without the full queue the kernel would accept connections for a machine that is gone: on loopback it
-// answers for every listener.
+// Fills the accept queue. On loopback the kernel would otherwise accept connections for a machine that has
+// vanished.
 void EndpointListeners::block(int endpoint, int node) {
   Listener& blocked = listener(endpoint, node);
   if (!blocked.socket || !blocked.queue_fillers.empty()) {
@@ -89,8 +89,8 @@
       }
       return;
     }
-    const double most_connections = rig_.scenario.cap * rig_.planned(endpoint).cores;
-    if (rig_.endpoint(endpoint).open_connections >= most_connections) {
+    const double max_connections = rig_.scenario.cap * rig_.planned(endpoint).cores;
+    if (rig_.endpoint(endpoint).open_connections >= max_connections) {
       accepted.close_with_reset();
       continue;
     }
--- a/src/emulator/live/endpoint_listeners.h
+++ b/src/emulator/live/endpoint_listeners.h
@@ -1,5 +1,5 @@
-// The listening sockets of the endpoint stand-ins, one for each node, and how they seem unreachable. Changes
-// listeners in the shared state. See docs/emulator.md.
+// The listening sockets of the emulated endpoints, one for each node, and how they are made unreachable.
+// Changes listeners in the shared state. See docs/emulator.md.
 #pragma once
 #include "emulator/live/endpoint_rig.h"
 
@@ -13,7 +13,7 @@
   void open(int endpoint);
   void close(int endpoint);
 
-  /// Makes an endpoint's listeners reachable or not, as its condition and the cut links have it.
+  /// Makes an endpoint's listeners reachable or unreachable, by its condition and the cut links.
   void update_reachability(int endpoint);
 
  private:
--- a/src/emulator/live/endpoint_process.cpp
+++ b/src/emulator/live/endpoint_process.cpp
@@ -1,4 +1,4 @@
-// The process of the endpoint stand-ins and their list server, on sockets. Owns the parts and hands each the
+// The process of the emulated endpoints and their list server, on sockets. Owns the parts and hands each the
 // run's beginning. See docs/emulator.md.
 #include <unistd.h>
 
@@ -11,8 +11,9 @@
 namespace dapplewharf::emulator {
 namespace {
 
-/// Clients end first: endpoints that ended before them would be seen as lost connections.
-constexpr double kOutlivesClientsS = 0.6;
+/// The endpoints run this much longer than the clients, which would otherwise record lost connections at the
+/// end.
+constexpr double kRunsAfterClientsS = 0.6;
 
 class EndpointProcess : public RigProcess {
  public:
@@ -46,7 +47,7 @@
 
 void EndpointProcess::begin() {
   for (int index = 0; index < rig_.endpoint_count(); ++index) {
-    EndpointStandIn& endpoint = rig_.endpoint(index);
+    EmulatedEndpoint& endpoint = rig_.endpoint(index);
     endpoint.model.start(now(), false);
     record(RecordKind::endpoint_state, "", index, endpoint.condition == EndpointCondition::up);
   }
@@ -56,7 +57,7 @@
 
 void EndpointProcess::record_open_connections(TimePoint when) {
   for (int index = 0; index < rig_.endpoint_count(); ++index) {
-    const EndpointStandIn& endpoint = rig_.endpoint(index);
+    const EmulatedEndpoint& endpoint = rig_.endpoint(index);
     const bool down = endpoint.condition == EndpointCondition::down;
     record(RecordKind::open_connections, "", index,
            down ? 0 : static_cast<long>(endpoint.established.size()));
@@ -68,7 +69,7 @@
 
 int run_endpoints(const Scenario& scenario, const Plan& plan, const LoopbackAddresses& addresses,
                   ParentChannel parent, double for_s) {
-  return EndpointProcess(scenario, plan, addresses, std::move(parent)).run(for_s + kOutlivesClientsS);
+  return EndpointProcess(scenario, plan, addresses, std::move(parent)).run(for_s + kRunsAfterClientsS);
 }
 
 int run_endpoints_alone(const Scenario& scenario, const Plan& plan, int net, double for_s,
--- a/src/emulator/live/endpoint_rig.cpp
+++ b/src/emulator/live/endpoint_rig.cpp
@@ -5,8 +5,8 @@
 EndpointRig::EndpointRig(RigProcess& process)
     : process(process), scenario(process.scenario()), plan(process.plan()), cuts(scenario.zones.size()) {
   for (const PlannedHost& planned : plan.hosts) {
-    endpoints.push_back(std::make_unique<EndpointStandIn>(scenario, plan, planned));
-    EndpointStandIn& endpoint = *endpoints.back();
+    endpoints.push_back(std::make_unique<EmulatedEndpoint>(scenario, plan, planned));
+    EmulatedEndpoint& endpoint = *endpoints.back();
     endpoint.listeners.resize(static_cast<std::size_t>(scenario.nodes));
     if (planned.joins_s > 0) {
       endpoint.condition = EndpointCondition::down;
--- a/src/emulator/live/endpoint_rig.h
+++ b/src/emulator/live/endpoint_rig.h
@@ -1,5 +1,5 @@
-// The state that the parts of the endpoints' process share: the endpoint stand-ins, the connections to them
-// and the links that are cut. Owns their sockets; decides nothing. See docs/emulator.md.
+// The state that the parts of the endpoints' process share: the emulated endpoints, the connections to them
+// and the cut links. Owns the sockets; makes no decisions. See docs/emulator.md.
 #pragma once
 #include <map>
 #include <memory>
@@ -50,19 +50,19 @@
   EventLoop::Deadline load_change;
 };
 
-/// An endpoint played on sockets.
-struct EndpointStandIn {
-  EndpointStandIn(const Scenario& scenario, const Plan& plan, const PlannedHost& planned)
+/// An emulated endpoint on sockets.
+struct EmulatedEndpoint {
+  EmulatedEndpoint(const Scenario& scenario, const Plan& plan, const PlannedHost& planned)
       : model(scenario, plan, planned) {}
 
   HostModel model;
   EndpointCondition condition = EndpointCondition::up;
   bool draining = false;
   bool listed = true;
-  bool overwhelmed = false;    // fell over under too much load while cold; it does not come back
+  bool overwhelmed = false;    // was overloaded while cold; stays down
   double failing_share = 0;    // of requests
   double resetting_share = 0;  // of requests
-  int hang_faults = 0;         // that hold its setups now
+  int hang_faults = 0;         // that suspend its setups now
   int incarnation = 0;
   int open_connections = 0;
   std::string drain_pace;                            // as the scenario names it
@@ -77,8 +77,8 @@
 struct EndpointRig {
   explicit EndpointRig(RigProcess& process);
 
-  EndpointStandIn& endpoint(int index) { return *endpoints[static_cast<std::size_t>(index)]; }
-  const EndpointStandIn& endpoint(int index) const { return *endpoints[static_cast<std::size_t>(index)]; }
+  EmulatedEndpoint& endpoint(int index) { return *endpoints[static_cast<std::size_t>(index)]; }
+  const EmulatedEndpoint& endpoint(int index) const { return *endpoints[static_cast<std::size_t>(index)]; }
   const PlannedHost& planned(int index) const { return plan.hosts[static_cast<std::size_t>(index)]; }
   const Session& session(const EndpointConnection& connection) const {
     return plan.sessions[connection.session];
@@ -91,14 +91,14 @@
   bool is_cut(int endpoint, int node) const;
   bool responses_lost(int endpoint, int node) const;
 
-  /// Connections to an endpoint; the list stays good while they are closed.
+  /// The connections to an endpoint; the returned list stays valid while they are closed.
   std::vector<Handle> connections_to(int endpoint);
 
   RigProcess& process;
   const Scenario& scenario;
   const Plan& plan;
   ZoneCuts cuts;
-  std::vector<std::unique_ptr<EndpointStandIn>> endpoints;
+  std::vector<std::unique_ptr<EmulatedEndpoint>> endpoints;
   SlotMap<EndpointConnection> connections;
 };
 
--- a/tests/emulator/soak_test.cpp
+++ b/tests/emulator/soak_test.cpp
@@ -1,4 +1,4 @@
-// What the soak counts as a violation in the nodes' logs. The lines of the node come from the code that the
+// Tests of what the soak counts as a violation in the nodes' logs. The lines come from the code that the node
 // node itself runs, so that a change of their text cannot leave the soak looking for a text that nobody
 // writes.
 #include "emulator/soak.h"
--- a/tests/tools/count.sh
+++ b/tests/tools/count.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# tools/count.awk on a log written by hand.
+# Test of tools/count.awk with a short log.
 set -eu
 counted=$(printf '%s\n' \
   '0.100 2026-01-01T00:00:00.100 info started' \
@@ -19,4 +19,4 @@
 0 1 0 0 0 0 0 0 0 0
 1 0 1 1 0 0 0 0 0 0
 2 0 0 0 0 1 1 1 0 1'
-[ "$counted" = "$expected" ] || { echo "counted:"; echo "$counted"; exit 1; }
+[ "$counted" = "$expected" ] || { echo "unexpected counts:"; echo "$counted"; exit 1; }
--- a/tools/count.awk
+++ b/tools/count.awk
@@ -1,8 +1,10 @@
-# Counts over a whole fleet, second by second, what its nodes did, from their logs at level debug (log { level =
-# debug } in the operators' file). Each line begins with the second, as the bench writes it, then date, level, text.
+# Counts the events in the logs of all nodes of a deployment, second by second. The logs must be at level debug
+# (log { level = debug } in the operators' file), and each line must begin with the second of the run, then date,
+# level and text.
 #   awk -f tools/count.awk LOGS/*.log
-# Columns: set-ups up, tries failed, connections dropped by hosts, moved or sent away, rejections, hosts seen to start
-# cold, hosts turned bad, lists lost, weights frozen.
+# Columns: connections established, attempts failed, connections lost at an endpoint, connections migrated or
+# cancelled, requests rejected, slow starts begun, endpoints that became unhealthy, endpoint list calls lost, and
+# weights frozen.
 $1 !~ /^[0-9]+\.?[0-9]*$/ { next }
 {
   second = int($1)
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Builds the fuzzer of the configuration language with clang and runs it for some seconds over its corpus. Crashes are
-# left in build-fuzz/.
+# Builds the fuzzer of the configuration language with clang and runs it on its corpus.
+# Argument: the duration in seconds, 60 by default. Inputs that crash it are written to build-fuzz/.
 set -eu
 cd "$(dirname "$0")/.."
 mkdir -p build-fuzz/found
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
 # Lints src/: clang-tidy with the checks of .clang-tidy over every file, and each header must compile alone.
-# A finding is an error unless tools/lint_exceptions.txt names its file and check. That list may only shrink: an
-# exception that no longer occurs is an error too, and comments that silence clang-tidy are refused.
+# A finding is an error unless tools/lint_exceptions.txt lists its file and check. Entries of that list may be removed
+# but not added: an exception without a finding is an error too, and comments that silence clang-tidy are errors.
 #
 #   tools/lint.sh          lints; exit 0 when clean, 1 otherwise
-#   tools/lint.sh FILE...  the same for these source files and what they include; for the desk, not for CI
+#   tools/lint.sh FILE...  lints these source files and the headers they include; for local use, not for CI
 #   tools/lint.sh --list   prints the current findings in the format of tools/lint_exceptions.txt
 #
 # LINT_JOBS is the number of parallel processes (default: the number of cores).
@@ -73,7 +73,8 @@
       print file ":" place ": " $0 " [" check "]"}' "$work/new" "$work/findings"
   status=1
 fi
-# A header's findings show only where a source file that includes it is linted, so a partial run looks at the rest.
+# A header has findings only if a source file that includes it is linted, so a partial run checks the exceptions of
+# source files alone.
 if [ "$*" = 'src/*.cpp src/*.h' ]; then
   comm -13 "$work/found" "$work/excepted" >"$work/stale"
 else
@@ -81,15 +82,15 @@
   comm -13 "$work/found" "$work/excepted" | awk 'NR == FNR {given[$1] = 1; next} $1 in given' "$work/sources" - >"$work/stale"
 fi
 if [ -s "$work/stale" ]; then
-  sed 's|^|take off tools/lint_exceptions.txt, no longer found: |' "$work/stale"
+  sed 's|^|no longer found, remove it from tools/lint_exceptions.txt: |' "$work/stale"
   status=1
 fi
 if awk 'NF < 3' "$work/reasons" | grep . || grep 'clang-diagnostic-error' "$work/reasons"; then
-  echo "an exception needs a file, a check and a reason, and cannot be an error of the compiler"
+  echo "an exception needs a file, a check and a reason, and may not be a compiler error"
   status=1
 fi
 if git grep -n --untracked NOLINT -- src; then
-  echo "exceptions stand in $exceptions alone"
+  echo "exceptions may stand only in $exceptions"
   status=1
 fi
 exit $status
