--- a/src/policy/adaptive_attempt_limit.cpp
+++ b/src/policy/adaptive_attempt_limit.cpp
@@ -39,7 +39,7 @@
 }
 
 bool AdaptiveAttemptLimit::is_active(TimePoint now) const {
-  return last_decrease_at_ > 0 && now - last_decrease_at_ < kFleetConditionHeld;
+  return last_decrease_at_ > 0 && now - last_decrease_at_ < kFleetConditionLifetime;
 }
 
 bool AdaptiveAttemptLimit::forbids_attempt(int in_flight, TimePoint now) const {
--- a/src/policy/connection_rate_limit.cpp
+++ b/src/policy/connection_rate_limit.cpp
@@ -1,4 +1,4 @@
-// The rate of new connections for one endpoint during a surge (policy/connection_rate_limit.h).
+// The rate of new connections to one endpoint during a surge (policy/connection_rate_limit.h).
 #include "policy/connection_rate_limit.h"
 
 #include <algorithm>
@@ -8,20 +8,21 @@
 namespace dapplewharf {
 namespace {
 
-constexpr double kMinFleetRate = 2;          // connections a second, of all nodes together
-constexpr double kHeadroomFactor = 4;        // so many times the rate where the endpoint reports headroom
-constexpr double kHarmlessQuotaShare = 0.7;  // of this node's part of the quota: below, no surge does harm
+constexpr double kMinRateOfAllNodes = 2;   // connections a second
+constexpr double kHeadroomRateFactor = 4;  // multiple of the rate if the endpoint reports spare capacity
+constexpr double kUnlimitedQuotaShare =
+    0.7;  // share of this node's part of the quotas; an endpoint that holds less is not limited
 
 }  // namespace
 
 bool ConnectionRateLimit::admits_connection(TimePoint now, const SurgeConditions& conditions,
                                             const SentWorkWindow& sent) const {
-  if (conditions.surge_rate == 0) {
+  if (conditions.surge_share_per_second == 0) {
     return true;
   }
-  const double harmless =
-      kHarmlessQuotaShare * conditions.quota_per_size * conditions.size / settings_.node_count;
-  if (conditions.open_connections + kConnectionsOverMean < harmless) {
+  const double unlimited_connections =
+      kUnlimitedQuotaShare * conditions.quota_per_capacity * conditions.capacity / settings_.node_count;
+  if (conditions.open_connections + kConnectionCountMargin < unlimited_connections) {
     return true;
   }
   const double rate = connections_per_second(conditions);
@@ -30,9 +31,10 @@
 }
 
 double ConnectionRateLimit::connections_per_second(const SurgeConditions& conditions) const {
-  const double least = kMinFleetRate / settings_.node_count;
-  const double rate = std::max(least, conditions.surge_rate * conditions.mean_connections * conditions.size);
-  return conditions.reports_headroom ? rate * kHeadroomFactor : rate;
+  const double min_rate = kMinRateOfAllNodes / settings_.node_count;
+  const double rate = std::max(
+      min_rate, conditions.surge_share_per_second * conditions.mean_connections * conditions.capacity);
+  return conditions.reports_headroom ? rate * kHeadroomRateFactor : rate;
 }
 
 }  // namespace dapplewharf
--- a/src/policy/connection_rate_limit.h
+++ b/src/policy/connection_rate_limit.h
@@ -1,6 +1,6 @@
-// The new-connection rate limit during a surge. Connections that one endpoint drops come back at once and
-// would overload the next endpoint; while that may happen, each endpoint admits new connections at a limited
-// rate and the excess requests are rejected with Retry-After. Design: docs/design.md.
+// The rate limit on new connections during a surge. When an endpoint drops connections, their clients
+// reconnect at once and would overload the next endpoint. While that may happen, each endpoint gets new
+// connections at a limited rate, and further requests are rejected with Retry-After. Design: docs/design.md.
 #pragma once
 #include "base/time.h"
 #include "policy/sent_work_window.h"
@@ -8,23 +8,25 @@
 
 namespace dapplewharf {
 
-/// What the limit for one endpoint depends on.
+/// The inputs for the rate limit of one endpoint.
 struct SurgeConditions {
-  double size = 1;                // the endpoint's relative capacity
-  int open_connections = 0;       // of this node, here
-  double mean_connections = 0;    // of this node, for an endpoint of size 1
-  double quota_per_size = 0;      // connections of all nodes that tenants' quotas grant, for size 1
-  double surge_rate = 0;          // new connections a second, of the mean; 0: no surge, no limit
-  bool reports_headroom = false;  // the endpoint itself reported little load just now
+  double capacity = 1;            // of the endpoint, relative to a standard endpoint
+  int open_connections = 0;       // of this node at the endpoint
+  double mean_connections = 0;    // of this node at an endpoint of capacity 1
+  double quota_per_capacity = 0;  // connections of all nodes that tenants' quotas grant, for capacity 1
+  double surge_share_per_second =
+      0;  // new connections a second, as a share of mean_connections; 0: no surge, no limit
+  bool reports_headroom = false;  // the endpoint recently reported spare capacity
 };
 
-/// Whether an endpoint may be sent one more new connection of this node during a surge.
+/// Limits the rate at which this node opens connections to one endpoint during a surge.
 class ConnectionRateLimit {
  public:
-  /// @param settings must outlive this object; read anew at each call.
+  /// @param settings are read at each call and must outlive this object.
   explicit ConnectionRateLimit(const Settings& settings) : settings_(settings) {}
 
-  /// @param sent what this node has sent to the endpoint of late.
+  /// Whether this node may open one more connection to the endpoint now.
+  /// @param sent this node's recent work at the endpoint.
   [[nodiscard]] bool admits_connection(TimePoint now, const SurgeConditions& conditions,
                                        const SentWorkWindow& sent) const;
 
--- a/src/policy/connection_shedding.h
+++ b/src/policy/connection_shedding.h
@@ -1,5 +1,5 @@
-// Connection shedding: moving connections off an endpoint that is overloaded, unresponsive or leaving, a part
-// at a time, so that what stays is served again. Design: docs/design.md.
+// Connection shedding: migrating connections off an endpoint that is overloaded, unresponsive or leaving, in
+// batches, so that an overloaded endpoint can serve the remaining ones again. Design: docs/design.md.
 #pragma once
 #include <optional>
 
@@ -7,30 +7,31 @@
 
 namespace dapplewharf {
 
-/// Why an endpoint sheds connections. Where several apply the first counts.
+/// Why an endpoint sheds connections. If several reasons apply, the first in this order is used.
 enum class SheddingReason {
-  unresponsive,   // it serves nobody any more: everything is to go
+  unresponsive,   // it answers nothing, so all connections are to migrate
   leaving,        // it drains or has been removed
-  over_objective  // messages miss their objective
+  over_objective  // too many messages miss their latency objective
 };
 
-/// One step of shedding.
+/// One batch of connections to shed.
 struct SheddingBatch {
-  double share = 0;             // of the connections that stood when shedding began, in all so far; up to 1
-  bool starts_episode = false;  // no shedding was going on before
+  // Share (0 to 1) of the connections at the start of the episode that are to have migrated by now.
+  double cumulative_share = 0;
+  bool starts_episode = false;  // the endpoint was not shedding before
 };
 
-/// When connections are to migrate off one endpoint, and what share of them.
+/// Schedules the batches in which connections migrate off one endpoint.
 class ConnectionShedding {
  public:
-  /// Decides on the next step, if one is due. To be called only while there is a reason to shed.
-  /// @param weights_frozen most endpoints are in trouble: only a leaving endpoint sheds then.
-  /// @param leaving the endpoint drains or has been removed, whatever the reason is.
-  /// @return nothing while no step is due.
-  std::optional<SheddingBatch> next_batch(TimePoint now, SheddingReason reason, bool leaving,
+  /// Returns the next batch if one is due. To be called only while there is a reason to shed.
+  /// @param is_leaving whether the endpoint drains or has been removed; `reason` may still be another one.
+  /// @param weights_frozen whether weights are frozen; only a leaving endpoint sheds then.
+  /// @return nothing if no batch is due.
+  std::optional<SheddingBatch> next_batch(TimePoint now, SheddingReason reason, bool is_leaving,
                                           bool weights_frozen);
 
-  /// The earliest time of the next step.
+  /// The earliest time of the next batch.
   [[nodiscard]] TimePoint next_batch_at() const { return next_batch_at_; }
 
  private:
--- a/src/policy/constants.h
+++ b/src/policy/constants.h
@@ -1,31 +1,35 @@
-// Constants that several rules of the load-balancing policy share, with their units. Constants of one rule
-// stand in its own file.
+// Constants that several rules of the load-balancing policy share, with their units. A constant that only one
+// rule uses is defined in that rule's file.
 #pragma once
 #include "base/time.h"
 
 namespace dapplewharf {
 
-/// The policy's timer fires no oftener, and a rule that acts in steps takes no shorter ones.
+/// Shortest interval between two expirations of the policy's timer, and between two steps of a rule that acts
+/// in steps.
 inline constexpr Duration kTimerInterval = 100 * kMs;
 
-/// Failures in a row that degrade a health signal; failing endpoints that may point to a shared dependency.
+/// Consecutive failures that turn a health signal degraded. Also the number of failing endpoints from which
+/// the cause may be a dependency that all endpoints share.
 inline constexpr int kFailuresToDegrade = 3;
 
-/// A condition of an endpoint that is reported about once a second (slow messages, dropped connections)
-/// counts for this long after the last report.
-inline constexpr Duration kConditionHeld = 1500 * kMs;
+/// How long a condition of one endpoint (slow messages, dropped connections) counts after its last report.
+/// Such conditions are reported about once a second.
+inline constexpr Duration kEndpointConditionLifetime = 1500 * kMs;
 
-/// A condition of most endpoints (surge, failing shared dependency) counts for this long after it was last
-/// seen.
-inline constexpr Duration kFleetConditionHeld = 5 * kSecond;
+/// How long a condition of most endpoints (a surge, a failing shared dependency) counts after it was last
+/// observed.
+inline constexpr Duration kFleetConditionLifetime = 5 * kSecond;
 
-/// Selections of endpoints are counted over this window.
+/// Length of the window over which endpoint selections are counted.
 inline constexpr Duration kSelectionWindow = 10 * kSecond;
 
-/// Connections over the mean from which an endpoint, or a node, counts as holding more than others.
-inline constexpr int kConnectionsOverMean = 2;
+/// Connections. Counts below it, and differences smaller than it, are too small to compare load by.
+inline constexpr int kConnectionCountMargin = 2;
 
-/// Times the mean from which an endpoint is well over it for a request whose affinity group it holds.
-inline constexpr double kWellOverMeanForGroup = 4;
+/// Multiple of the mean number of connections above which an endpoint is over the mean for a request whose
+/// affinity group has connections there. Other requests use a lower multiple. Slow start assumes the same
+/// concentration of selections on one endpoint if gossip is missing.
+inline constexpr double kGroupOverMeanFactor = 4;
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -1,6 +1,6 @@
-// One endpoint as this node sees it. Puts the rules of health, recovery, slow start, rate limits, shedding
-// and health checks together, decides whether the endpoint may take a request, and tells the other parts of
-// the policy its status. Design: docs/design.md.
+// The state of one endpoint at this node. Endpoint applies the rules of health, recovery ramp, slow start,
+// rate limit, shedding and health checks, decides whether the endpoint may take a request, and publishes the
+// endpoint's status to the other parts of the policy. Design: docs/design.md.
 #pragma once
 #include <optional>
 #include <string>
@@ -18,23 +18,23 @@
 
 namespace dapplewharf {
 
-/// The state of one endpoint. Created when the endpoint list first names it, and kept from then on.
+/// The state of one endpoint. Created when the endpoint list first names the endpoint, and never deleted.
 class Endpoint {
  public:
   std::vector<EndpointMessage> inbox;  // filled and emptied by the message loop
 
-  /// @param context must outlive this object. One random number is drawn from it.
+  /// @param context must outlive this object. The constructor draws one random number from it.
   Endpoint(PolicyContext& context, std::string id);
 
-  /// Handles one message and posts what follows from it.
-  void read(const EndpointMessage& message);
+  /// Handles one message, then posts the endpoint's status if it has changed.
+  void handle_message(const EndpointMessage& message);
 
  private:
   void handle(const EndpointListed& message);
   void handle(const EndpointUnlisted& message);
-  void handle(const EndpointTick& message);
+  void handle(const EndpointWakeUp& message);
   void handle(const AdmissionRequest& message);
-  void handle(const ConnectionOpened& message);
+  void handle(const ConnectionRestored& message);
   void handle(const AttemptSucceeded& message);
   void handle(const AttemptFinished& message);
   void handle(const LatencyObserved& message);
@@ -43,17 +43,17 @@
 
   // The endpoint list.
   void leave_service(EndpointState state);
-  [[nodiscard]] bool in_service() const;
+  [[nodiscard]] bool is_in_service() const;
 
   // Admission.
   [[nodiscard]] bool may_take_request(bool is_mid_connection) const;
-  [[nodiscard]] bool may_take_connection_while_leaving(bool is_mid_connection) const;
+  [[nodiscard]] bool may_resume_while_draining(bool is_mid_connection) const;
   [[nodiscard]] SlowStartConditions slow_start_conditions() const;
   [[nodiscard]] SurgeConditions surge_conditions() const;
-  [[nodiscard]] double sustained_by_warm() const;
+  [[nodiscard]] double sustained_per_capacity() const;
   [[nodiscard]] bool reports_headroom() const { return status_.headroom_until > context_.now; }
   [[nodiscard]] bool needs_health_check_first(const CandidateList& candidates) const;
-  [[nodiscard]] bool at_reported_capacity(const CandidateList& candidates) const;
+  [[nodiscard]] bool is_at_reported_capacity(const CandidateList& candidates) const;
   void admit_or_decline(const CandidateList& candidates);
 
   // Health.
@@ -63,7 +63,7 @@
   void return_waiting_requests(Outcome check_outcome);
   void record_check_outcome(Outcome outcome);
   void record_result(SignalSource source, bool succeeded);
-  void log_signal_turn(SignalSource source, bool healthy);
+  void log_signal_change(SignalSource source, bool is_healthy);
   [[nodiscard]] TimePoint next_ramp_step_at() const;
   void advance_ramp_if_due();
 
@@ -81,13 +81,13 @@
   std::string id_;
   EndpointStatus status_;
   std::optional<EndpointStatus> posted_status_;
-  FleetStatistics fleet_;  // as last told
+  FleetStatistics fleet_;  // as last received
 
   EndpointState state_ = EndpointState::removed;
-  bool was_listed_ = false;           // as healthy, at any time
-  bool removal_unconfirmed_ = false;  // the list calls it removed, and only drains bind
+  bool was_listed_ = false;              // the list has named it as healthy at some time
+  bool is_removal_unconfirmed_ = false;  // the list removed it without a drain; health checks decide
   TimePoint left_service_at_ = 0;
-  std::optional<TimePoint> dropped_connection_at_;
+  std::optional<TimePoint> connection_lost_at_;  // when an established connection last broke
 
   EndpointHealth health_;
   RecoveryRamp ramp_;
@@ -97,7 +97,7 @@
   ConnectionRateLimit rate_limit_;
   ConnectionShedding shedding_;
   SentWorkWindow sent_work_;
-  std::vector<CandidateList> waiting_for_check_;
+  std::vector<CandidateList> waiting_for_check_;  // requests that wait for the health check in flight
 };
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint_health.h
+++ b/src/policy/endpoint_health.h
@@ -1,5 +1,5 @@
-// The health of one endpoint as this node sees it: the score of its active signal (health checks) and its
-// passive signal (outcomes of connections). Design: docs/design.md.
+// The health of one endpoint as observed by this node: the score that follows from its active signal (health
+// checks) and its passive signal (outcomes of connection attempts and connections). Design: docs/design.md.
 #pragma once
 #include "base/time.h"
 #include "policy/events.h"
@@ -7,47 +7,47 @@
 
 namespace dapplewharf {
 
-/// The best score that an endpoint can have.
-inline constexpr double kFullScore = 100;
+/// The highest health score.
+inline constexpr double kMaxScore = 100;
 
 /// Where a health result comes from.
 enum class SignalSource {
   active,  // health checks
-  passive  // connection attempts, and connections that broke
+  passive  // connection attempts, and established connections that broke
 };
 
-/// Both health signals of an endpoint and the score that follows from them.
+/// Both health signals of an endpoint and its health score.
 class EndpointHealth {
  public:
-  /// Forgets all results, as for an endpoint that has restarted.
-  /// @param inherited_score 0 to kFullScore, the most that the score may be until inheritance ends.
-  void start_over(double inherited_score);
+  /// Clears both signals, for an endpoint that is new or has restarted.
+  /// @param score_limit the highest score, 0 to kMaxScore, until lift_score_limit() is called.
+  void reset(double score_limit);
 
-  /// Ends the limit that the inherited score sets.
-  void end_inheritance() { inherited_score_ = kFullScore; }
+  /// Removes the limit on the score that reset() has set.
+  void lift_score_limit() { score_limit_ = kMaxScore; }
 
   /// Adds a result to a signal.
-  /// @return whether the signal turned from healthy to degraded or back.
+  /// @return whether the signal changed from healthy to degraded or back.
   bool add_result(SignalSource source, bool succeeded);
 
-  /// Notes how a health check ended, apart from its result: whether the endpoint gave any answer.
-  void note_check_outcome(Outcome outcome);
+  /// Records whether the endpoint gave any answer to a health check. The result itself goes to add_result().
+  void record_check_outcome(Outcome outcome);
 
-  /// Notes that a connection has told something of the endpoint.
-  void note_connection_outcome(TimePoint now) { last_connection_outcome_ = now; }
+  /// Records that the outcome of an attempt or connection has said something about the endpoint.
+  void record_connection_outcome(TimePoint now) { last_connection_outcome_ = now; }
 
-  /// Whether a good health check also counts for the passive signal. Without this an endpoint that gets no
-  /// connections because of past failures would never be rated well again.
-  [[nodiscard]] bool checks_count_as_connections(TimePoint now) const;
+  /// Whether a successful health check also counts as a success of the passive signal. Otherwise an endpoint
+  /// that gets no connections because of past failures would never recover.
+  [[nodiscard]] bool checks_count_for_passive_signal(TimePoint now) const;
 
-  /// From 0 to kFullScore; 0 when both signals are degraded, at most half when one of them is.
+  /// From 0 to kMaxScore; 0 when both signals are degraded, at most half when one of them is.
   [[nodiscard]] double score() const;
 
-  /// Whether either signal is in doubt.
-  [[nodiscard]] bool in_doubt() const { return active_.in_doubt() || passive_.in_doubt(); }
+  /// Whether either signal is suspect.
+  [[nodiscard]] bool is_suspect() const { return active_.is_suspect() || passive_.is_suspect(); }
 
-  /// Whether health checks fail, the latest of them without any answer.
-  [[nodiscard]] bool unresponsive() const { return !active_.healthy() && last_check_unanswered_; }
+  /// Whether the active signal is degraded and the latest health check got no answer.
+  [[nodiscard]] bool is_unresponsive() const { return !active_.is_healthy() && was_last_check_unanswered_; }
 
   [[nodiscard]] const HealthSignal& signal(SignalSource source) const {
     return source == SignalSource::active ? active_ : passive_;
@@ -56,8 +56,8 @@
  private:
   HealthSignal active_;
   HealthSignal passive_;
-  double inherited_score_ = kFullScore;
-  bool last_check_unanswered_ = false;
+  double score_limit_ = kMaxScore;
+  bool was_last_check_unanswered_ = false;
   TimePoint last_connection_outcome_ = 0;
 };
 
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -1,3 +1,4 @@
+// How candidates for a request are ranked and limited (policy/endpoint_selector.h).
 #include "policy/endpoint_selector.h"
 
 #include <algorithm>
@@ -11,20 +12,22 @@
 namespace dapplewharf {
 namespace {
 
-constexpr int kPointsOfSizeOne = 30;        // on the ring
-constexpr std::size_t kGoodCandidates = 8;  // more are hardly ever asked
-constexpr double kCandidatesInSurge = 12;   // asked for one group by all nodes together
-constexpr double kWellOverMean = 1.25;      // times the mean
-constexpr double kBusyLoad = 0.3;           // of capacity, over the fleet
-constexpr double kDearZoneCrossing = 0.1;   // of all that service can be worth
+constexpr int kRingPointsPerCapacity = 30;  // points on the ring for capacity 1
+constexpr std::size_t kMaxPreferredCandidates =
+    8;                                             // candidates of tier near or better; more are rarely asked
+constexpr double kSurgeCandidatesOfAllNodes = 12;  // candidates for one affinity group, over all nodes
+constexpr double kOverMeanFactor =
+    1.25;  // multiple of the mean connections; above it an endpoint is over the mean
+constexpr double kBusyFleetLoad = 0.3;       // mean reported load, as a share of capacity
+constexpr double kHighCrossZonePrice = 0.1;  // as a share of the total value of service
 
 int point_count(const EndpointStatus& status) {
-  return std::max(1, static_cast<int>(std::lround(kPointsOfSizeOne * status.size)));
+  return std::max(1, static_cast<int>(std::lround(kRingPointsPerCapacity * status.capacity)));
 }
 
-// Where a request's walk on the ring begins. Connections of one affinity group share work, so the group's id
-// goes before the client's key. A group that is too large for one endpoint is cut into parts with keys of
-// their own.
+// The key at which a request's walk on the ring starts. Connections of one affinity group share work, so the
+// group's id takes precedence over the client's key. A group that is too large for one endpoint is split into
+// parts with different keys.
 std::uint64_t ring_key(const RequestAttributes& request, int part) {
   if (request.affinity_group) {
     return hash(static_cast<std::uint64_t>(*request.affinity_group + part));
@@ -37,28 +40,28 @@
 
 }  // namespace
 
-void EndpointSelector::read(const SelectorMessage& message) {
-  std::visit([this](const auto& one) { handle(one); }, message);
+void EndpointSelector::handle_message(const SelectorMessage& message) {
+  std::visit([this](const auto& concrete_message) { handle(concrete_message); }, message);
 }
 
 void EndpointSelector::handle(const WeightsFreezeChanged& message) {
   weights_frozen_ = message.frozen;
-  for (const auto& [id, weight] : std::exchange(thawed_weights_, {})) {
+  for (const auto& [id, weight] : std::exchange(deferred_weights_, {})) {
     statuses_[id].weight = weight;
   }
 }
 
-void EndpointSelector::handle(const StatusChanged& message) {
-  const auto [at, is_new] = statuses_.try_emplace(message.endpoint, message.status);
-  if (is_new || at->second.size != message.status.size) {
-    ring_is_stale_ = true;
+void EndpointSelector::handle(const EndpointStatusChanged& message) {
+  const auto [entry, is_new] = statuses_.try_emplace(message.endpoint, message.status);
+  if (is_new || entry->second.capacity != message.status.capacity) {
+    is_ring_stale_ = true;
   }
-  const double weight = is_new || !weights_frozen_ ? message.status.weight : at->second.weight;
+  const double weight = is_new || !weights_frozen_ ? message.status.weight : entry->second.weight;
   if (weights_frozen_) {
-    thawed_weights_[message.endpoint] = message.status.weight;
+    deferred_weights_[message.endpoint] = message.status.weight;
   }
-  at->second = message.status;
-  at->second.weight = weight;
+  entry->second = message.status;
+  entry->second.weight = weight;
 }
 
 void EndpointSelector::handle(const SelectEndpoints& message) {
@@ -69,40 +72,42 @@
   candidates.deadline = query.request.deadline;
   candidates.is_mid_connection = query.request.is_mid_connection;
   candidates.endpoints = std::make_shared<const std::vector<std::string>>(
-      limit_candidates(ranked, message.fleet.surge_rate > 0));
+      limit_candidates(ranked, message.fleet.surge_share_per_second > 0));
   candidates.fleet = message.fleet;
   context_.post_to_request_table(std::move(candidates));
 }
 
 EndpointSelector::Ranked EndpointSelector::rank_endpoints(const SelectionQuery& query,
                                                           const FleetStatistics& fleet) {
-  if (std::exchange(ring_is_stale_, false)) {
-    ring_.lay(statuses_, point_count);
+  if (std::exchange(is_ring_stale_, false)) {
+    ring_.rebuild(statuses_, point_count);
   }
   const bool is_mid_connection = query.request.is_mid_connection;
-  const bool is_surge = fleet.surge_rate > 0;
+  const bool is_surge = fleet.surge_share_per_second > 0;
   const TimePoint now = context_.now;
-  const int parts =
-      fleet.is_isolated ? 1 + static_cast<int>(query.group_connections / fleet.connections_per_endpoint) : 1;
+  const int parts = fleet.is_load_unknown
+                        ? 1 + static_cast<int>(query.open_group_connections / fleet.connections_per_endpoint)
+                        : 1;
   const int part = parts > 1 ? static_cast<int>(context_.random.next_fraction() * parts) : 0;
   const auto used_points = [is_mid_connection](const EndpointStatus& status) {
     return static_cast<int>(std::lround((is_mid_connection ? 1 : status.weight) * point_count(status)));
   };
   Ranked ranked;
-  std::size_t good = 0;
-  ring_.walk(ring_key(query.request, part), used_points,
-             [&](const std::string& id, const EndpointStatus& status) {
-               const bool is_overloaded = std::max(status.dropping_until, status.over_objective_until) > now;
-               const bool is_usable = is_mid_connection || (!is_overloaded && status.in_service);
-               if (!is_usable || !is_in_deduplication_scope(query, status)) {
-                 return true;
-               }
-               if (good < kGoodCandidates || status.cold_until > now) {
-                 ranked.emplace_back(tier_of(query, fleet, id, status), &id);
-               }
-               good += ranked.back().first <= SelectionTier::near ? 1 : 0;
-               return good < kGoodCandidates || (is_surge && fleet.any_cold);
-             });
+  std::size_t preferred_count = 0;
+  ring_.walk(
+      ring_key(query.request, part), used_points, [&](const std::string& id, const EndpointStatus& status) {
+        const bool is_overloaded =
+            std::max(status.dropping_connections_until, status.over_objective_until) > now;
+        const bool is_usable = is_mid_connection || (!is_overloaded && status.is_in_service);
+        if (!is_usable || !is_in_deduplication_scope(query, status)) {
+          return true;
+        }
+        if (preferred_count < kMaxPreferredCandidates || status.slow_start_until > now) {
+          ranked.emplace_back(selection_tier(query, fleet, id, status), &id);
+        }
+        preferred_count += ranked.back().first <= SelectionTier::near ? 1 : 0;
+        return preferred_count < kMaxPreferredCandidates || (is_surge && fleet.has_endpoint_in_slow_start);
+      });
   if (parts > 1 && !ranked.empty() && ranked.front().first <= SelectionTier::far_affinity) {
     ranked.front().first = SelectionTier::affinity;
   }
@@ -111,42 +116,47 @@
   return ranked;
 }
 
-// In a surge only a few endpoints are asked, so that a group is not scattered over every endpoint that takes
-// one of its connections. Those that report headroom are asked all the same, and cold ones last: each node
-// has an allowance at some of them only, and none would find them on a short list.
+// During a surge only a few endpoints are asked, so that a group is not spread over every endpoint that
+// admits one of its connections. Endpoints that report spare capacity are always asked. Endpoints in slow
+// start are asked last: each node has an allowance at only a few of them, which a short list would rarely
+// contain.
 std::vector<std::string> EndpointSelector::limit_candidates(const Ranked& ranked, bool is_surge) const {
-  const auto limit =
-      std::max<std::size_t>(1, static_cast<std::size_t>(kCandidatesInSurge / context_.settings.node_count));
+  const auto limit = std::max<std::size_t>(
+      1, static_cast<std::size_t>(kSurgeCandidatesOfAllNodes / context_.settings.node_count));
   std::vector<std::string> candidates;
-  std::vector<std::string> cold;
+  std::vector<std::string> in_slow_start;
   for (const auto& [tier, id] : ranked) {
     const EndpointStatus& status = statuses_.at(*id);
     if (!is_surge || candidates.size() < limit || status.headroom_until > context_.now) {
       candidates.push_back(*id);
-    } else if (status.cold_until > context_.now && tier < SelectionTier::near_slow) {
-      cold.push_back(*id);
+    } else if (status.slow_start_until > context_.now && tier < SelectionTier::near_slow) {
+      in_slow_start.push_back(*id);
     }
   }
-  candidates.insert(candidates.end(), cold.begin(), cold.end());
+  candidates.insert(candidates.end(), in_slow_start.begin(), in_slow_start.end());
   return candidates;
 }
 
-// A repeat outside the scope that knows its idempotency key would take effect a second time.
+// A repeated request would take effect a second time at an endpoint outside the scope in which its
+// idempotency key is known.
 bool EndpointSelector::is_in_deduplication_scope(const SelectionQuery& query,
                                                  const EndpointStatus& status) const {
-  if (query.deduplicating_endpoint.empty() || query.scope == DeduplicationScope::all) {
+  if (query.deduplicating_endpoint.empty() || query.deduplication_scope == DeduplicationScope::all) {
     return true;
   }
-  const auto first = statuses_.find(query.deduplicating_endpoint);
-  if (first == statuses_.end()) {
+  const auto earlier_endpoint = statuses_.find(query.deduplicating_endpoint);
+  if (earlier_endpoint == statuses_.end()) {
     return false;
   }
-  return is_in_scope(query.scope, first->second.zone, first->second.cell, status.zone, status.cell);
+  return is_in_scope(query.deduplication_scope, earlier_endpoint->second.zone, earlier_endpoint->second.cell,
+                     status.zone, status.cell);
 }
 
-// A group that gathers on the same endpoints from all zones is paid for once. Zones count for it only while
-// capacity is plentiful, or where crossing them is dear unless endpoints are short. Where endpoints report no
-// load nobody would see capacity run out, so groups gather at any time.
+// The shared work of an affinity group is done only once if the nodes of all zones place it on the same
+// endpoints, so for a group an endpoint in another zone may count as near. If crossing zones is cheap it does
+// during a surge, when the fleet is busy, and at any time if endpoints report no load, because scarce
+// capacity would go unnoticed then. If crossing zones is expensive it does only when a surge has left
+// requests without an endpoint.
 bool EndpointSelector::counts_as_near(const SelectionQuery& query, const FleetStatistics& fleet,
                                       const EndpointStatus& status) const {
   if (status.zone == context_.settings.zone) {
@@ -155,42 +165,44 @@
   if (!query.request.affinity_group) {
     return false;
   }
-  const bool is_surge = fleet.surge_rate > 0;
-  if (context_.settings.cross_zone_price <= kDearZoneCrossing) {
-    return is_surge || fleet.mean_reported_load > kBusyLoad || !context_.settings.load_report_index;
+  const bool is_surge = fleet.surge_share_per_second > 0;
+  if (context_.settings.cross_zone_price <= kHighCrossZonePrice) {
+    return is_surge || fleet.mean_reported_load > kBusyFleetLoad || !context_.settings.load_report_index;
   }
-  return is_surge && query.shortage;
+  return is_surge && query.is_capacity_short;
 }
 
-SelectionTier EndpointSelector::tier_of(const SelectionQuery& query, const FleetStatistics& fleet,
-                                        const std::string& id, const EndpointStatus& status) const {
-  const bool near = counts_as_near(query, fleet, status);
-  if (std::count(query.tried.begin(), query.tried.end(), id) > 0) {
+SelectionTier EndpointSelector::selection_tier(const SelectionQuery& query, const FleetStatistics& fleet,
+                                               const std::string& id, const EndpointStatus& status) const {
+  const bool is_near = counts_as_near(query, fleet, status);
+  if (std::count(query.tried_endpoints.begin(), query.tried_endpoints.end(), id) > 0) {
     return SelectionTier::failed_before;
   }
   if (query.request.is_mid_connection) {
-    return near ? SelectionTier::affinity : SelectionTier::near;
+    return is_near ? SelectionTier::affinity : SelectionTier::near;
   }
   if (status.slow_until > context_.now) {
-    return near ? SelectionTier::near_slow : SelectionTier::far_slow;
+    return is_near ? SelectionTier::near_slow : SelectionTier::far_slow;
   }
   const bool holds_group = query.affinity_endpoints.count(id) != 0;
-  // Where this node holds next to nothing, the connections of all nodes say whether an endpoint is well over
-  // the mean.
-  const bool by_gossip = fleet.mean_connections * status.size < kConnectionsOverMean &&
-                         fleet.mean_connections_all_nodes >= 0 && status.connections_elsewhere >= 0;
-  const double mean = (by_gossip ? fleet.mean_connections_all_nodes : fleet.mean_connections) * status.size;
-  const double connections = status.open_connections + 1 + (by_gossip ? status.connections_elsewhere : 0);
-  const double well_over = mean * (holds_group && !by_gossip ? kWellOverMeanForGroup : kWellOverMean);
-  const bool is_over = connections >= mean + kConnectionsOverMean && connections > well_over;
-  const bool is_full = fleet.quota_per_size > 0 && connections * 2 > fleet.quota_per_size * status.size;
-  if (holds_group && !is_over && !is_full) {
-    return near ? SelectionTier::affinity : SelectionTier::far_affinity;
-  }
-  if (near && !is_full) {
-    return is_over ? SelectionTier::near_over_mean : SelectionTier::near;
-  }
-  return is_over || is_full ? SelectionTier::full_or_far_over : SelectionTier::far;
+  // If this node has too few connections, those of all nodes decide whether an endpoint is over the mean.
+  const bool uses_gossip = fleet.mean_connections * status.capacity < kConnectionCountMargin &&
+                           fleet.mean_connections_all_nodes >= 0 && status.connections_elsewhere >= 0;
+  const double mean =
+      (uses_gossip ? fleet.mean_connections_all_nodes : fleet.mean_connections) * status.capacity;
+  const double connections = status.open_connections + 1 + (uses_gossip ? status.connections_elsewhere : 0);
+  const double over_mean_limit =
+      mean * (holds_group && !uses_gossip ? kGroupOverMeanFactor : kOverMeanFactor);
+  const bool is_over_mean = connections >= mean + kConnectionCountMargin && connections > over_mean_limit;
+  const bool is_full =
+      fleet.quota_per_capacity > 0 && connections * 2 > fleet.quota_per_capacity * status.capacity;
+  if (holds_group && !is_over_mean && !is_full) {
+    return is_near ? SelectionTier::affinity : SelectionTier::far_affinity;
+  }
+  if (is_near && !is_full) {
+    return is_over_mean ? SelectionTier::near_over_mean : SelectionTier::near;
+  }
+  return is_over_mean || is_full ? SelectionTier::full_or_far_over_mean : SelectionTier::far;
 }
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -1,3 +1,4 @@
+// How the endpoint set handles list changes, timers and the freeze of weights (policy/endpoint_set.h).
 #include "policy/endpoint_set.h"
 
 #include <algorithm>
@@ -9,24 +10,24 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kFrontStopsAfter =
-    500 * kMs;  // new clients still come to a node that shuts down for this long
-constexpr Duration kShutdownMigration = kSecond;  // within which all connections migrate then
+// After the start of its shutdown a node still gets new clients for this long.
+constexpr Duration kNewClientsStopAfter = 500 * kMs;
+constexpr Duration kShutdownMigrationTime = kSecond;  // after that, all connections migrate within this time
 
 }  // namespace
 
 EndpointSet::EndpointSet(PolicyContext& context)
     : context_(context), list_watch_(context.settings), statistics_(context.settings) {}
 
-void EndpointSet::read(const EndpointSetMessage& message) {
-  std::visit([this](const auto& one) { handle(one); }, message);
+void EndpointSet::handle_message(const EndpointSetMessage& message) {
+  std::visit([this](const auto& concrete_message) { handle(concrete_message); }, message);
   set_timer();
 }
 
 void EndpointSet::handle(const EndpointsCached& message) {
   replace_list(message.endpoints);
   list_watch_.started_from_cache(context_.now, context_.random.next_fraction());
-  ask_for_list();
+  watch_list_if_due();
 }
 
 void EndpointSet::handle(const EndpointsSnapshot& message) {
@@ -44,49 +45,49 @@
 }
 
 void EndpointSet::handle(const ShutdownStarted& /*message*/) {
-  shutdown_at_ = context_.now;
+  shutdown_started_at_ = context_.now;
 }
 
 void EndpointSet::handle(const TimerFired& /*message*/) {
   timer_fired_at_ = context_.now;
-  freeze_to_check_ = false;
-  ask_for_list();
+  is_freeze_check_due_ = false;
+  watch_list_if_due();
   migrate_for_shutdown();
-  const FleetStatistics fleet = statistics();
-  for (auto at = wake_at_.begin(); at != wake_at_.end() && at->first <= context_.now; ++at) {
-    context_.post_to_endpoint(at->second, EndpointTick{fleet});
+  const FleetStatistics fleet = collect_statistics();
+  for (auto due = wake_up_queue_.begin(); due != wake_up_queue_.end() && due->first <= context_.now; ++due) {
+    context_.post_to_endpoint(due->second, EndpointWakeUp{fleet});
   }
 }
 
-void EndpointSet::handle(const StatusChanged& message) {
-  EndpointStatus& known = statuses_[message.endpoint];
+void EndpointSet::handle(const EndpointStatusChanged& message) {
+  EndpointStatus& last_status = statuses_[message.endpoint];
   const EndpointStatus& status = message.status;
-  if (known.in_service != status.in_service ||
-      is_degraded(known, context_.now) != is_degraded(status, context_.now)) {
-    freeze_to_check_ = true;
+  if (last_status.is_in_service != status.is_in_service ||
+      is_degraded(last_status, context_.now) != is_degraded(status, context_.now)) {
+    is_freeze_check_due_ = true;
   }
-  wake_at_.erase({known.wake_at, message.endpoint});
-  known = status;
-  if (status.wake_at < kNever) {
-    wake_at_.insert({status.wake_at, message.endpoint});
+  wake_up_queue_.erase({last_status.wake_up_at, message.endpoint});
+  last_status = status;
+  if (status.wake_up_at < kNever) {
+    wake_up_queue_.insert({status.wake_up_at, message.endpoint});
   }
 }
 
 void EndpointSet::handle(const SelectEndpoints& message) {
   const std::optional<std::int64_t>& group = message.query->request.affinity_group;
   statistics_.count_selection(context_.now, group);
-  if (message.query->tried.empty()) {
+  if (message.query->tried_endpoints.empty()) {
     statistics_.count_arrival(context_.now);
   }
-  SelectEndpoints completed{message.query, statistics()};
+  SelectEndpoints selection{message.query, collect_statistics()};
   if (group) {
-    completed.fleet.group_selections = statistics_.selections_of(*group);
+    selection.fleet.group_selections = statistics_.recent_selections_of(*group);
   }
-  context_.post_to_selector(std::move(completed));
+  context_.post_to_selector(std::move(selection));
 }
 
 void EndpointSet::replace_list(const std::vector<EndpointEntry>& entries) {
-  std::set<std::string> removed = listed_;
+  std::set<std::string> removed = listed_endpoints_;
   for (const EndpointEntry& entry : entries) {
     removed.erase(entry.host);
   }
@@ -97,60 +98,62 @@
 }
 
 void EndpointSet::update_list(const std::vector<EndpointEntry>& entries) {
-  const FleetStatistics fleet = statistics();
+  const FleetStatistics fleet = collect_statistics();
   const bool is_first = list_watch_.received();
-  std::vector<std::string> named;
+  std::vector<std::string> endpoint_ids;
   for (const EndpointEntry& entry : entries) {
-    EndpointListed message{entry, fleet, std::nullopt, !is_first && !listed_.count(entry.host)};
+    EndpointListed message{entry, fleet, std::nullopt, !is_first && !listed_endpoints_.count(entry.host)};
     if (context_.settings.weights_follow_load) {
       separate_load_from_weight(message);
     }
-    named.push_back(entry.host);
+    endpoint_ids.push_back(entry.host);
     context_.post_to_endpoint(entry.host, std::move(message));
   }
-  listed_.insert(named.begin(), named.end());
+  listed_endpoints_.insert(endpoint_ids.begin(), endpoint_ids.end());
   if (is_first) {
     statistics_.count_arrival(context_.now);
   }
 }
 
-// A weight that sinks as an endpoint fills would send all nodes to whichever was empty a second ago. The size
-// of an endpoint is the largest weight seen of its machine type; what its weight lacks of it tells how many
-// connections all nodes hold there.
+// A weight that decreases as an endpoint fills would make all nodes choose whichever endpoint was empty when
+// the list was made. So the capacity of an endpoint is the largest weight seen of its machine type, and the
+// ratio of that to its present weight gives the number of connections that all nodes have there.
 void EndpointSet::separate_load_from_weight(EndpointListed& message) {
   EndpointEntry& entry = message.entry;
-  double& largest = largest_weight_[entry.kind];
+  double& largest = largest_weight_by_type_[entry.kind];
   largest = std::max(largest, entry.size);
   if (entry.size > 0) {
-    message.connections = largest * (largest / entry.size - 1);
+    message.connections_all_nodes = largest * (largest / entry.size - 1);
   }
   if (largest > 0) {
     entry.size = largest;
   }
 }
 
-void EndpointSet::ask_for_list() {
+void EndpointSet::watch_list_if_due() {
   if (list_watch_.ask(context_.now)) {
-    context_.act(WatchEndpoints{});
+    context_.add_action(WatchEndpoints{});
   }
 }
 
-// Clients that migrate at once would come back to this node while it still gets new ones, and all together.
+// Clients that migrated at once would reconnect to this node while it still gets new clients, and all at the
+// same time.
 void EndpointSet::migrate_for_shutdown() {
-  if (shutdown_at_ <= 0 || context_.now - shutdown_at_ < kFrontStopsAfter) {
+  if (shutdown_started_at_ <= 0 || context_.now - shutdown_started_at_ < kNewClientsStopAfter) {
     return;
   }
   MigrateConnections message;
-  message.share = static_cast<double>(context_.now - shutdown_at_ - kFrontStopsAfter) / kShutdownMigration;
-  message.budget = INT_MAX;
-  message.whole_groups = true;
+  message.migration_share = static_cast<double>(context_.now - shutdown_started_at_ - kNewClientsStopAfter) /
+                            kShutdownMigrationTime;
+  message.migration_budget = INT_MAX;
+  message.keeps_groups_together = true;
   context_.post_to_request_table(std::move(message));
 }
 
-// One timer stands for whatever is due first.
+// Keeps one timer for whatever is due first.
 void EndpointSet::set_timer() {
-  TimePoint due = wake_at_.empty() ? kNever : wake_at_.begin()->first;
-  if (freeze_to_check_ || shutdown_at_ > 0) {
+  TimePoint due = wake_up_queue_.empty() ? kNever : wake_up_queue_.begin()->first;
+  if (is_freeze_check_due_ || shutdown_started_at_ > 0) {
     due = context_.now;
   }
   due = std::min(due, list_watch_.next_ask());
@@ -158,24 +161,25 @@
     due = std::min(due, list_watch_.silent_from());
   }
   due = std::max({due, timer_fired_at_ + kTimerInterval, context_.now + 1});
-  if (due >= kNever || (timer_at_ > context_.now && timer_at_ <= due)) {
+  if (due >= kNever || (timer_expires_at_ > context_.now && timer_expires_at_ <= due)) {
     return;
   }
-  timer_at_ = due;
-  context_.act(SetTimer{0, due - context_.now});
+  timer_expires_at_ = due;
+  context_.add_action(SetTimer{0, due - context_.now});
 }
 
-// Weights are frozen while most endpoints are degraded, or while the list is silent: the trouble is then
-// behind the endpoints or at this node, and moving work between them only churns it.
-FleetStatistics EndpointSet::statistics() {
-  auto [fleet, endpoints, degraded] = statistics_.collect(statuses_, context_.now);
-  const bool list_is_silent = context_.now >= list_watch_.silent_from();
-  fleet.weights_frozen = degraded * 2 > endpoints || list_is_silent;
+// Collects the statistics and updates the freeze of weights. Weights are frozen while most endpoints are
+// degraded or the endpoint list service does not answer: the fault is then behind the endpoints or at this
+// node, and moving connections between endpoints would only cause churn.
+FleetStatistics EndpointSet::collect_statistics() {
+  auto [fleet, endpoint_count, degraded_count] = statistics_.collect(statuses_, context_.now);
+  const bool is_list_silent = context_.now >= list_watch_.silent_from();
+  fleet.weights_frozen = degraded_count * 2 > endpoint_count || is_list_silent;
   if (fleet.weights_frozen != weights_frozen_) {
     weights_frozen_ = fleet.weights_frozen;
-    context_.log(std::string(fleet.weights_frozen ? "weights_frozen" : "weights_unfrozen") +
-                 " degraded=" + std::to_string(degraded) + " endpoints=" + std::to_string(endpoints) +
-                 " list_silent=" + (list_is_silent ? "true" : "false"));
+    context_.log(std::string(fleet.weights_frozen ? "weights_frozen" : "weights_unfrozen") + " degraded=" +
+                 std::to_string(degraded_count) + " endpoints=" + std::to_string(endpoint_count) +
+                 " list_silent=" + (is_list_silent ? "true" : "false"));
     context_.post_to_selector(WeightsFreezeChanged{fleet.weights_frozen});
   }
   return fleet;
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -1,6 +1,7 @@
-// The endpoints of the list: passes the list on to each endpoint, wakes those that are due, and says when
-// weights are frozen. Owns the endpoints' last statuses, the watch on the list (endpoint_list_watch) and what
-// they add up to (fleet_statistics). docs/design.md describes the freeze of weights.
+// The endpoints of the list: passes each endpoint its entry of the list, wakes up endpoints whose periodic
+// work is due, and decides when weights are frozen. Keeps the endpoints' last statuses, the watch on the list
+// (endpoint_list_watch) and the statistics over all endpoints (fleet_statistics). docs/design.md describes
+// the freeze of weights.
 #pragma once
 #include <map>
 #include <set>
@@ -14,12 +15,13 @@
 
 namespace dapplewharf {
 
+/// Manages the endpoint list, the wake-ups and the freeze of weights.
 class EndpointSet {
  public:
   explicit EndpointSet(PolicyContext& context);
 
   /// Handles one message; posts to endpoints, the selector and the request table.
-  void read(const EndpointSetMessage& message);
+  void handle_message(const EndpointSetMessage& message);
 
  private:
   void handle(const EndpointsCached& message);
@@ -28,29 +30,29 @@
   void handle(const EndpointWatchFailed& message);
   void handle(const ShutdownStarted& message);
   void handle(const TimerFired& message);
-  void handle(const StatusChanged& message);
+  void handle(const EndpointStatusChanged& message);
   void handle(const SelectEndpoints& message);
 
   void replace_list(const std::vector<EndpointEntry>& entries);
   void update_list(const std::vector<EndpointEntry>& entries);
   void separate_load_from_weight(EndpointListed& message);
-  void ask_for_list();
+  void watch_list_if_due();
   void migrate_for_shutdown();
   void set_timer();
-  [[nodiscard]] FleetStatistics statistics();
+  [[nodiscard]] FleetStatistics collect_statistics();
 
   PolicyContext& context_;
   EndpointListWatch list_watch_;
   FleetStatisticsCollector statistics_;
   std::map<std::string, EndpointStatus> statuses_;
-  std::set<std::string> listed_;
-  std::map<std::string, double> largest_weight_;         // of each machine type, where weights follow load
-  std::set<std::pair<TimePoint, std::string>> wake_at_;  // the endpoints that want to be woken
+  std::set<std::string> listed_endpoints_;
+  std::map<std::string, double> largest_weight_by_type_;       // by machine type, if weights follow load
+  std::set<std::pair<TimePoint, std::string>> wake_up_queue_;  // endpoints, by the time of their next wake-up
   bool weights_frozen_ = false;
-  bool freeze_to_check_ = false;  // a status has changed in what freezes weights
-  TimePoint timer_at_ = 0;        // when the timer that was set last expires
+  bool is_freeze_check_due_ = false;  // a status change may freeze or unfreeze weights
+  TimePoint timer_expires_at_ = 0;    // when the last timer that was set expires
   TimePoint timer_fired_at_ = 0;
-  TimePoint shutdown_at_ = 0;  // 0: this node does not shut down
+  TimePoint shutdown_started_at_ = 0;  // 0: this node is not shutting down
 };
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint_status.h
+++ b/src/policy/endpoint_status.h
@@ -1,5 +1,5 @@
-// What one endpoint tells the other parts of the policy of itself. Times are in ticks of 0.1 ms; a state that
-// lasts until a time in the past does not hold.
+// The state of one endpoint that it publishes to the other parts of the policy. Times are in ticks of 0.1 ms;
+// a condition that holds until a time in the past no longer holds.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,22 +8,23 @@
 
 namespace dapplewharf {
 
+/// The published state of one endpoint.
 struct EndpointStatus {
   std::string zone, machine_type;
   std::int64_t cell = 0;
-  double size = 1;  // relative capacity
-  double score = 100;
-  double weight = 1;                   // score and recovery ramp together, from 0 to 1
-  int open_connections = 0;            // connections of this node, with attempts in flight
-  double connections_elsewhere = -1;   // connections of all other nodes, by gossip; below 0: unknown
-  double reported_load = -1;           // over its capacity, as last reported; below 0: not of late
-  bool in_service = false;             // listed, and neither draining nor removed
-  TimePoint slow_until = 0;            // until when its messages count as slow
-  TimePoint over_objective_until = 0;  // until when its messages count as over their latency objective
-  TimePoint dropping_until = 0;        // until when it counts as dropping established connections
-  TimePoint headroom_until = 0;        // until when it counts as reporting headroom
-  TimePoint cold_until = 0;            // until when it is in slow start
-  TimePoint wake_at = 0;               // when it wants to be woken
+  double capacity = 1;                       // relative to a standard endpoint
+  double score = 100;                        // health score, from 0 to 100
+  double weight = 1;                         // health score times recovery ramp, from 0 to 1
+  int open_connections = 0;                  // of this node, including attempts in flight
+  double connections_elsewhere = -1;         // of all other nodes, from gossip or the list; below 0: unknown
+  double reported_load = -1;                 // share of its capacity; below 0: not in the last report
+  bool is_in_service = false;                // listed, and neither draining nor removed
+  TimePoint slow_until = 0;                  // until when its messages count as slow
+  TimePoint over_objective_until = 0;        // until when its messages count as over their latency objective
+  TimePoint dropping_connections_until = 0;  // until when it counts as dropping established connections
+  TimePoint headroom_until = 0;              // until when its report of spare capacity counts
+  TimePoint slow_start_until = 0;            // when its slow start ends
+  TimePoint wake_up_at = 0;                  // when its next periodic work is due
   bool operator==(const EndpointStatus&) const = default;
 };
 
--- a/src/policy/fleet_statistics.h
+++ b/src/policy/fleet_statistics.h
@@ -1,6 +1,7 @@
-// What the endpoints add up to, worked out from their statuses when somebody needs it: means, surge limit,
-// migration budget, sustainable connections by machine type. Owns the recent arrivals and selections and what
-// machine types have sustained. Pure: the caller gives the time, in ticks of 0.1 ms.
+// Statistics over all endpoints, computed on demand from their statuses: means, the surge limit, the
+// migration budget and the sustainable connections of each machine type. FleetStatisticsCollector keeps the
+// recent arrivals and selections and what machine types have sustained. It reads no clock: the caller passes
+// the time, in ticks of 0.1 ms.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -16,90 +17,99 @@
 
 namespace dapplewharf {
 
-/// Means, limits and budgets over all endpoints in service, as this node sees them.
+/// Means, limits and budgets over all endpoints in service, as observed by this node. "Per capacity" means
+/// for an endpoint of capacity 1.
 struct FleetStatistics {
   bool weights_frozen = false;
-  double mean_score = 100;  // mean of the endpoints' scores, where a new endpoint starts
-  double surge_rate =
-      0;  // new connections a second that an endpoint takes, of the mean_connections; 0: no limit
-  double mean_connections = 0;            // open connections for a size of 1, in this node's own zone
-  double connections_per_endpoint = 1e9;  // open connections for one endpoint, at least two of all nodes
-  bool is_isolated =
-      false;  // endpoints hold next to nothing of this node, and of other nodes nothing is known
-  double mean_connections_all_nodes =
-      -1;  // open connections of all nodes for a size of 1, by gossip; below 0: unknown
-  double mean_reported_load = -1;  // of warm endpoints over their capacity, as reported; below 0: unknown
-  Duration health_check_interval =
-      0;                           // least time between steady health checks of an endpoint, for their price
-  int migration_budget = 0;        // connections that may migrate within a second
-  double selections_per_size = 0;  // selections lately, for a size of 1
-  double group_selections = 0;     // for a selection: how many of them were for its affinity group
-  /// Open connections of this node that a warm endpoint of size 1 sustains, by machine type; "" over all
+  double mean_score = 100;  // mean health score; the first score of a new endpoint
+  /// New connections a second that an endpoint may get, as a share of mean_connections; 0: no limit.
+  double surge_share_per_second = 0;
+  /// Open connections of this node per capacity, in its own zone if endpoints there have enough weight, else
+  /// in all zones.
+  double mean_connections = 0;
+  /// Open connections of this node per endpoint. At least kConnectionCountMargin over all nodes together.
+  double connections_per_endpoint = 1e9;
+  /// This node cannot tell how loaded endpoints are: it has too few connections, and gossip is missing.
+  bool is_load_unknown = false;
+  /// Open connections of all nodes per capacity in this node's zone, by gossip; below 0: unknown.
+  double mean_connections_all_nodes = -1;
+  /// Mean load that warm endpoints report, as a share of their capacity; below 0: unknown.
+  double mean_reported_load = -1;
+  /// Shortest interval between steady health checks of an endpoint at which their cost stays acceptable.
+  Duration min_health_check_interval = 0;
+  int migration_budget = 0;            // connections that may migrate within a second
+  double selections_per_capacity = 0;  // within kSelectionWindow
+  double group_selections = 0;         // those for the affinity group of the request that is being placed
+  /// Open connections of this node per capacity that warm endpoints sustain, by machine type; "" is over all
   /// types.
-  std::shared_ptr<const std::map<std::string, double>> sustained_connections;
-  bool any_cold = false;
-  double quota_per_size = 0;  // open connections for a size of 1 that the tenants' quotas allow, of all nodes
+  std::shared_ptr<const std::map<std::string, double>> sustained_connections_by_type;
+  bool has_endpoint_in_slow_start = false;
+  double quota_per_capacity = 0;  // open connections of all nodes that the tenants' quotas allow
 };
 
-/// An endpoint that weights count as degraded: low score, and not for being cold.
+/// Whether the endpoint counts as degraded for the freeze of weights: a low score outside slow start.
 [[nodiscard]] bool is_degraded(const EndpointStatus& status, TimePoint now);
 
+/// Computes FleetStatistics and keeps the history that they depend on.
 class FleetStatisticsCollector {
  public:
   /// @param settings are read at each call and have to outlive this object.
   explicit FleetStatisticsCollector(const Settings& settings) : settings_(settings) {}
 
-  /// A request arrived, or this node started.
+  /// Records the arrival of a request, or the start of this node.
   void count_arrival(TimePoint now);
-  /// An endpoint was sought for a request of this affinity group.
+  /// Records the selection of an endpoint for a request of this affinity group.
   void count_selection(TimePoint now, const std::optional<std::int64_t>& group);
-  /// Recent selections for one affinity group.
-  [[nodiscard]] double selections_of(std::int64_t group) const;
+  /// The number of recent selections for one affinity group.
+  [[nodiscard]] double recent_selections_of(std::int64_t group) const;
 
   struct Result {
     FleetStatistics fleet;
-    int endpoints = 0;  // in service
-    int degraded = 0;   // of those
+    int endpoint_count = 0;  // in service
+    int degraded_count = 0;  // of those
   };
   [[nodiscard]] Result collect(const std::map<std::string, EndpointStatus>& statuses, TimePoint now);
 
  private:
-  struct Sum {
-    double connections = 0;
-    double size = 0;
-    void add(double more_connections, double more_size) {
-      connections += more_connections;
-      size += more_size;
+  // The sum of an amount (connections, or load weighted with capacity) and of the capacity that it refers to.
+  struct CapacitySum {
+    double amount = 0;
+    double capacity = 0;
+    void add(double more_amount, double more_capacity) {
+      amount += more_amount;
+      capacity += more_capacity;
     }
-    [[nodiscard]] double mean() const { return connections / size; }
+    [[nodiscard]] double mean() const { return amount / capacity; }
   };
   struct Totals {
-    std::map<std::string, Sum> warm_by_type;
-    Sum all;                 // in service
-    Sum warm;                // at weight, and past slow start
-    Sum own_zone;            // at weight
-    Sum own_zone_all_nodes;  // at weight, where gossip tells
-    Sum reported_load;       // load times size, of warm ones that report it
-    double scores = 0;
-    double leaving_connections = 0;
-    double not_slow_size = 0;  // at weight
-    int endpoints = 0;
-    int degraded = 0;
-    bool any_cold = false;
-    bool any_overloaded = false;
+    std::map<std::string, CapacitySum> warm_connections_by_type;
+    CapacitySum connections;                     // at endpoints in service
+    CapacitySum warm_connections;                // at endpoints with enough weight that are past slow start
+    CapacitySum own_zone_connections;            // at endpoints with enough weight
+    CapacitySum own_zone_connections_all_nodes;  // the same, of all nodes, where gossip is available
+    CapacitySum reported_load;                   // load times capacity, of warm endpoints that report it
+    double score_sum = 0;
+    double leaving_connections = 0;  // at endpoints that are not in service
+    double not_slow_capacity = 0;    // of endpoints with enough weight
+    int endpoint_count = 0;
+    int degraded_count = 0;
+    bool has_endpoint_in_slow_start = false;
+    bool has_overloaded_endpoint = false;
   };
-  [[nodiscard]] Totals sum_up(const std::map<std::string, EndpointStatus>& statuses, TimePoint now) const;
+  [[nodiscard]] Totals compute_totals(const std::map<std::string, EndpointStatus>& statuses,
+                                      TimePoint now) const;
   void add_in_service(Totals& totals, const EndpointStatus& status, TimePoint now) const;
-  void remember_sustained(const Totals& totals, double reported_load, TimePoint now);
-  [[nodiscard]] Duration health_check_interval(int endpoints, TimePoint now) const;
+  void update_sustained_connections(const Totals& totals, double mean_reported_load, TimePoint now);
+  [[nodiscard]] Duration min_health_check_interval(int endpoint_count, TimePoint now) const;
 
   const Settings& settings_;
-  std::deque<TimePoint> arrivals_;  // this node's start, then the last requests
-  std::deque<std::pair<TimePoint, std::optional<std::int64_t>>> selections_;  // with their affinity group
-  std::map<std::string, double> sustained_;                                   // by machine type
-  std::shared_ptr<const std::map<std::string, double>> shared_sustained_;     // the same, as last handed out
-  TimePoint sustained_at_ = 0;
-  TimePoint overloaded_at_ = 0;  // when an endpoint was last seen overloaded
+  std::deque<TimePoint> arrivals_;  // this node's start and the latest requests
+  std::deque<std::pair<TimePoint, std::optional<std::int64_t>>> selections_;  // time and affinity group
+  std::map<std::string, double> sustained_by_type_;                           // by machine type
+  std::shared_ptr<const std::map<std::string, double>>
+      published_sustained_;  // a shared copy for FleetStatistics
+  TimePoint sustained_updated_at_ = 0;
+  TimePoint last_overload_at_ = 0;  // when an endpoint was last seen overloaded
 };
 
 }  // namespace dapplewharf
--- a/src/policy/hash_ring.cpp
+++ b/src/policy/hash_ring.cpp
@@ -8,40 +8,40 @@
 namespace dapplewharf {
 namespace {
 
-constexpr int kNotSeen = -1;
+constexpr int kNotReached = -1;  // no point of the endpoint has been passed on this walk
 
 }  // namespace
 
-void HashRing::lay(const std::map<std::string, EndpointStatus>& statuses, const PointCount& point_count) {
-  std::set<std::string> laid;
-  std::vector<std::uint32_t> free_places;
-  for (std::uint32_t i = 0; i < places_.size(); ++i) {
-    Place& place = places_[i];
-    const auto found = statuses.find(place.id);
-    const bool is_unchanged = found != statuses.end() && point_count(found->second) == place.points;
-    place.status = is_unchanged ? &found->second : nullptr;
+void HashRing::rebuild(const std::map<std::string, EndpointStatus>& statuses, const PointCount& point_count) {
+  std::set<std::string> unchanged;
+  std::vector<std::uint32_t> free_slots;
+  for (std::uint32_t i = 0; i < slots_.size(); ++i) {
+    Slot& slot = slots_[i];
+    const auto found = statuses.find(slot.id);
+    const bool is_unchanged = found != statuses.end() && point_count(found->second) == slot.points;
+    slot.status = is_unchanged ? &found->second : nullptr;
     if (is_unchanged) {
-      laid.insert(place.id);
+      unchanged.insert(slot.id);
     } else {
-      free_places.push_back(i);
+      free_slots.push_back(i);
     }
   }
-  std::erase_if(points_, [this](const Point& point) { return !places_[point.place].status; });
+  std::erase_if(points_, [this](const Point& point) { return !slots_[point.slot].status; });
   const auto kept = static_cast<std::ptrdiff_t>(points_.size());
   for (const auto& [id, status] : statuses) {
-    if (laid.count(id)) {
+    if (unchanged.count(id)) {
       continue;
     }
-    if (free_places.empty()) {
-      free_places.push_back(static_cast<std::uint32_t>(places_.size()));
-      places_.emplace_back();
+    if (free_slots.empty()) {
+      free_slots.push_back(static_cast<std::uint32_t>(slots_.size()));
+      slots_.emplace_back();
     }
-    const std::uint32_t at = free_places.back();
-    free_places.pop_back();
-    places_[at] = {id, &status, point_count(status)};
+    const std::uint32_t slot_number = free_slots.back();
+    free_slots.pop_back();
+    slots_[slot_number] = {id, &status, point_count(status)};
     const std::uint64_t start = hash(id);
-    for (int i = 0; i < places_[at].points; ++i) {
-      points_.push_back({hash(start + static_cast<unsigned>(i)), at, i});
+    for (int i = 0; i < slots_[slot_number].points; ++i) {
+      points_.push_back({hash(start + static_cast<unsigned>(i)), slot_number, i});
     }
   }
   std::sort(points_.begin() + kept, points_.end());
@@ -49,25 +49,25 @@
 }
 
 void HashRing::walk(std::uint64_t key, const PointCount& used_points, const Visitor& visit) const {
-  points_to_use_.assign(places_.size(), kNotSeen);
-  std::size_t unvisited = places_.size();
-  auto at = std::lower_bound(points_.begin(), points_.end(), Point{key, 0, 0});
-  for (std::size_t i = 0; i < points_.size() && unvisited > 0; ++i, ++at) {
-    if (at == points_.end()) {
-      at = points_.begin();
+  usable_points_.assign(slots_.size(), kNotReached);
+  std::size_t unvisited = slots_.size();
+  auto point = std::lower_bound(points_.begin(), points_.end(), Point{key, 0, 0});
+  for (std::size_t i = 0; i < points_.size() && unvisited > 0; ++i, ++point) {
+    if (point == points_.end()) {
+      point = points_.begin();
     }
-    int& to_use = points_to_use_[at->place];
-    const Place& place = places_[at->place];
-    if (to_use == kNotSeen) {
-      to_use = used_points(*place.status);
-      unvisited -= to_use <= 0 ? 1 : 0;
+    int& usable_count = usable_points_[point->slot];
+    const Slot& slot = slots_[point->slot];
+    if (usable_count == kNotReached) {
+      usable_count = used_points(*slot.status);
+      unvisited -= usable_count <= 0 ? 1 : 0;
     }
-    if (at->number >= to_use) {
+    if (point->index >= usable_count) {
       continue;
     }
-    to_use = 0;
+    usable_count = 0;
     --unvisited;
-    if (!visit(place.id, *place.status)) {
+    if (!visit(slot.id, *slot.status)) {
       return;
     }
   }
--- a/src/policy/hash_ring.h
+++ b/src/policy/hash_ring.h
@@ -1,7 +1,7 @@
-// A consistent hash ring of endpoints. Each endpoint has points in proportion to its size; a walk from a
-// key's place visits endpoints in an order that is the same at every node and changes little when endpoints
-// come and go. Owns the points; refers to the statuses that it was last laid for. docs/design.md describes
-// the ring.
+// A consistent hash ring of endpoints. Each endpoint has points in proportion to its capacity. A walk from a
+// key's position visits endpoints in an order that is the same at every node and changes little when
+// endpoints are added or removed. The ring owns its points and refers to the statuses of the last rebuild.
+// docs/design.md describes it.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,38 +14,42 @@
 
 namespace dapplewharf {
 
+/// A consistent hash ring of endpoints.
 class HashRing {
  public:
-  /// How many points an endpoint of this status has, or uses of those that it has.
+  /// Returns the number of points that an endpoint has, or that it uses on a walk.
   using PointCount = std::function<int(const EndpointStatus&)>;
-  /// Called for each endpoint on a walk; false ends the walk.
+  /// Called for each endpoint on a walk; returning false ends the walk.
   using Visitor = std::function<bool(const std::string& endpoint, const EndpointStatus& status)>;
 
-  /// Lays the points of these endpoints. Only endpoints that are new or of another size are laid anew.
-  /// @param statuses have to outlive the ring or be laid again; their addresses are kept.
-  void lay(const std::map<std::string, EndpointStatus>& statuses, const PointCount& point_count);
+  /// Updates the ring to these endpoints. Points are recomputed only for endpoints that are new or whose
+  /// number of points has changed.
+  /// @param statuses must outlive the ring or its next rebuild: the ring keeps pointers to them.
+  void rebuild(const std::map<std::string, EndpointStatus>& statuses, const PointCount& point_count);
 
-  /// Visits each endpoint once, at the first of its points that it uses, in the order of the ring from the
-  /// key on.
-  /// @param used_points how many of its points an endpoint uses; it is passed over where that is none.
+  /// Visits endpoints in the order of the ring, starting at the key: each once, at the first of the points
+  /// that it uses.
+  /// @param used_points returns how many of its points an endpoint uses; with 0 the endpoint is skipped.
   void walk(std::uint64_t key, const PointCount& used_points, const Visitor& visit) const;
 
  private:
-  struct Place {
+  struct Slot {
     std::string id;
-    const EndpointStatus* status = nullptr;  // null: the place is free
+    const EndpointStatus* status = nullptr;  // null: the slot is free
     int points = 0;
   };
   struct Point {
-    std::uint64_t at = 0;
-    std::uint32_t place = 0;
-    std::int32_t number = 0;  // of the endpoint's points
-    bool operator<(const Point& other) const { return std::tie(at, place) < std::tie(other.at, other.place); }
+    std::uint64_t position = 0;
+    std::uint32_t slot = 0;
+    std::int32_t index = 0;  // among the endpoint's points
+    bool operator<(const Point& other) const {
+      return std::tie(position, slot) < std::tie(other.position, other.slot);
+    }
   };
 
-  std::vector<Place> places_;
-  std::vector<Point> points_;               // in the order of the ring
-  mutable std::vector<int> points_to_use_;  // during a walk, by place
+  std::vector<Slot> slots_;
+  std::vector<Point> points_;               // sorted by position
+  mutable std::vector<int> usable_points_;  // during a walk, by slot; 0: visited or skipped
 };
 
 }  // namespace dapplewharf
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,6 +1,6 @@
-// The message loop of the load-balancing policy (policy/load_balancer.h): EndpointSet, EndpointSelector,
-// RequestTable and one Endpoint for each endpoint read messages from their own inbox and speak to each
-// other only by posting messages; Parts::process_messages empties the inboxes, always in the same order.
+// The message loop of the load-balancing policy (policy/load_balancer.h). EndpointSet, EndpointSelector,
+// RequestTable and one Endpoint per listed endpoint each handle the messages of their own inbox and
+// communicate only by posting messages. Components::process_messages empties the inboxes in a fixed order.
 #include "policy/load_balancer.h"
 
 #include <algorithm>
@@ -16,21 +16,21 @@
 
 namespace dapplewharf {
 
-struct LoadBalancer::Parts {
+struct LoadBalancer::Components {
   PolicyContext context;
   EndpointSet endpoint_set;
   EndpointSelector selector;
   RequestTable request_table;
   std::map<std::string, Endpoint> endpoints;
-  std::vector<std::pair<const std::string, Endpoint>*> with_messages;  // endpoints whose inbox is not empty
+  std::vector<std::pair<const std::string, Endpoint>*> endpoints_with_messages;  // whose inbox is not empty
 
-  Parts(Settings settings, std::uint64_t seed, TimePoint now)
+  Components(Settings settings, std::uint64_t seed, TimePoint now)
       : context{std::move(settings), RandomGenerator(seed), now},
         endpoint_set(context),
         selector(context),
         request_table(context) {}
 
-  // Which part of the policy an event concerns.
+  // Posts an event to the parts of the policy that handle it.
   void route(const EndpointsCached& event) { context.post_to_endpoint_set(event); }
   void route(const EndpointsSnapshot& event) { context.post_to_endpoint_set(event); }
   void route(const EndpointsUpdate& event) { context.post_to_endpoint_set(event); }
@@ -59,24 +59,26 @@
     context.post_to_endpoint(event.endpoint, GossipObserved{event.connections_elsewhere});
   }
 
-  void handle(const PolicyEvent& event) {
-    std::visit([this](const auto& one) { route(one); }, event);
+  void handle_event(const PolicyEvent& event) {
+    std::visit([this](const auto& concrete_event) { route(concrete_event); }, event);
     process_messages();
   }
 
-  // Lets one part read its inbox; returns whether there was anything in it. Reading posts messages, but never
-  // into an inbox.
+  // Handles the messages of one inbox. Returns whether there were any. Handlers post messages, but never add
+  // to an inbox.
   template <class Part, class Message>
-  static bool read_all(Part& part, std::vector<Message>& inbox) {
-    const bool any = !inbox.empty();
+  static bool handle_inbox(Part& part, void (Part::*handler)(const Message&), std::vector<Message>& inbox) {
+    const bool had_messages = !inbox.empty();
     for (const Message& message : inbox) {
-      part.read(message);
+      (part.*handler)(message);
     }
     inbox.clear();
-    return any;
+    return had_messages;
   }
 
-  void deliver() {
+  // Moves posted messages to the inboxes. Creates an endpoint when the list first names it; messages to
+  // unknown endpoints are dropped.
+  void deliver_posted_messages() {
     context.endpoint_set.deliver();
     context.selector.deliver();
     context.request_table.deliver();
@@ -89,44 +91,47 @@
         continue;
       }
       if (found->second.inbox.empty()) {
-        with_messages.push_back(&*found);
+        endpoints_with_messages.push_back(&*found);
       }
       found->second.inbox.push_back(std::move(message));
     }
   }
 
-  // The message loop: empties the inboxes, always in the same order, until no message is left.
+  // Handles messages, inbox by inbox in a fixed order, until none is left.
   void process_messages() {
-    for (bool any = true; any;) {
-      deliver();
-      any = read_all(endpoint_set, context.endpoint_set.inbox);
-      std::sort(with_messages.begin(), with_messages.end(),
+    for (bool had_messages = true; had_messages;) {
+      deliver_posted_messages();
+      had_messages = handle_inbox(endpoint_set, &EndpointSet::handle_message, context.endpoint_set.inbox);
+      std::sort(endpoints_with_messages.begin(), endpoints_with_messages.end(),
                 [](auto* a, auto* b) { return a->first < b->first; });
-      for (auto* endpoint : with_messages) {
-        any = read_all(endpoint->second, endpoint->second.inbox) || any;
+      for (auto* endpoint : endpoints_with_messages) {
+        had_messages =
+            handle_inbox(endpoint->second, &Endpoint::handle_message, endpoint->second.inbox) || had_messages;
       }
-      with_messages.clear();
-      deliver();
-      any = read_all(selector, context.selector.inbox) || any;
-      any = read_all(request_table, context.request_table.inbox) || any;
+      endpoints_with_messages.clear();
+      deliver_posted_messages();
+      had_messages =
+          handle_inbox(selector, &EndpointSelector::handle_message, context.selector.inbox) || had_messages;
+      had_messages =
+          handle_inbox(request_table, &RequestTable::read, context.request_table.inbox) || had_messages;
     }
   }
 };
 
 LoadBalancer::LoadBalancer(Settings settings, std::uint64_t seed, TimePoint now)
-    : parts_(std::make_unique<Parts>(std::move(settings), seed, now)) {}
+    : components_(std::make_unique<Components>(std::move(settings), seed, now)) {}
 LoadBalancer::~LoadBalancer() = default;
 
 void LoadBalancer::update_settings(Settings settings) {
-  parts_->context.settings = std::move(settings);
+  components_->context.settings = std::move(settings);
 }
 
 std::vector<PolicyAction> LoadBalancer::handle_events(TimePoint now, const std::vector<PolicyEvent>& events) {
-  parts_->context.now = std::max(now, parts_->context.now);
+  components_->context.now = std::max(now, components_->context.now);
   for (const PolicyEvent& event : events) {
-    parts_->handle(event);
+    components_->handle_event(event);
   }
-  return std::exchange(parts_->context.actions, {});
+  return std::exchange(components_->context.actions, {});
 }
 
 }  // namespace dapplewharf
--- a/src/policy/load_balancer.h
+++ b/src/policy/load_balancer.h
@@ -1,6 +1,6 @@
-// The interface of the load-balancing policy: every decision of one node and nothing else (docs/design.md).
-// Events go in, actions come out; the policy reads no clock, opens no socket and draws chance only from its
-// seed, so that the node, the simulator's adapter and the emulator run the very same decisions.
+// The interface of the load-balancing policy, which makes every decision of one node (docs/design.md). Events
+// go in and actions come out. The policy reads no clock, opens no socket and draws random numbers only from
+// its seed, so that the node, the simulator's adapter and the emulator make the same decisions.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -12,25 +12,25 @@
 
 namespace dapplewharf {
 
-/// The decisions of one node. It shares nothing with any other node's.
+/// Makes the load-balancing decisions of one node. Instances share no state.
 class LoadBalancer {
  public:
-  /// @param seed of all chance drawn here.
+  /// @param seed of the only random generator that the policy draws from.
   /// @param now monotonic time in ticks of 0.1 ms.
   LoadBalancer(Settings settings, std::uint64_t seed, TimePoint now);
   ~LoadBalancer();
 
-  /// Replaces the settings from the next event on.
+  /// Replaces the settings; the next event is handled with the new ones.
   void update_settings(Settings settings);
 
-  /// Decides on a batch of events, in their order.
-  /// @param now monotonic time; a time before the last one counts as the last one.
+  /// Handles a batch of events in order.
+  /// @param now monotonic time in ticks of 0.1 ms; a time before the previous call's is replaced by that one.
   /// @return the actions to carry out, in order.
   std::vector<PolicyAction> handle_events(TimePoint now, const std::vector<PolicyEvent>& events);
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Components;
+  std::unique_ptr<Components> components_;
 };
 
 }  // namespace dapplewharf
--- a/src/policy/message_latency.cpp
+++ b/src/policy/message_latency.cpp
@@ -1,4 +1,4 @@
-// Verdicts on an endpoint's last reported message latency (policy/message_latency.h).
+// Conditions derived from an endpoint's last reported message latency (policy/message_latency.h).
 #include "policy/message_latency.h"
 
 #include <algorithm>
@@ -9,12 +9,14 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kCapHeldFor = 30 * kSecond;
-constexpr double kSlowFactor = 3;  // messages count as slow from a third of their objective on
-// A migration is worth its price from so many times that price on, as a share of messages over the objective.
-constexpr double kMigrationWorth = 6.5;
-constexpr double kLeastMigrationPrice = 0.001;
-constexpr double kMostMigrationPrice = 0.05;
+constexpr Duration kConnectionCapLifetime = 30 * kSecond;
+constexpr double kSlowLatencyFactor =
+    3;  // messages are slow if this times their latency is over the objective
+// A migration is worth its price if the share of messages over the objective is at least this multiple of the
+// price.
+constexpr double kMinBenefitOverPrice = 6.5;
+constexpr double kMinMigrationPrice = 0.001;
+constexpr double kMaxMigrationPrice = 0.05;
 
 }  // namespace
 
@@ -27,37 +29,38 @@
   if (latency > objective()) {
     cap_ = ConnectionCap{.set_at = now, .connections = open_connections};
   }
-  slow_report_at_.reset();
-  if (latency * kSlowFactor > objective()) {
-    slow_report_at_ = now;
+  last_slow_report_at_.reset();
+  if (latency * kSlowLatencyFactor > objective()) {
+    last_slow_report_at_ = now;
   }
 }
 
-bool MessageLatency::slow(TimePoint now) const {
-  return slow_report_at_ && now - *slow_report_at_ < kConditionHeld;
+bool MessageLatency::is_slow(TimePoint now) const {
+  return last_slow_report_at_ && now - *last_slow_report_at_ < kEndpointConditionLifetime;
 }
 
 TimePoint MessageLatency::slow_until() const {
-  return slow_report_at_ ? *slow_report_at_ + kConditionHeld : 0;
+  return last_slow_report_at_ ? *last_slow_report_at_ + kEndpointConditionLifetime : 0;
 }
 
 TimePoint MessageLatency::over_objective_until() const {
   return latency_ > objective() ? slow_until() : 0;
 }
 
-bool MessageLatency::over_every_deadline(TimePoint now) const {
-  return slow(now) && latency_ > static_cast<double>(settings_.longest_deadline().value_or(kNever));
+bool MessageLatency::exceeds_longest_deadline(TimePoint now) const {
+  return is_slow(now) && latency_ > static_cast<double>(settings_.longest_deadline().value_or(kNever));
 }
 
-// With latencies spread exponentially, exp(-objective / latency) of the messages miss the objective.
+// If latencies are distributed exponentially with mean `latency`, a share of exp(-objective / latency) of the
+// messages misses the objective.
 bool MessageLatency::justifies_migration(TimePoint now) const {
-  const double price = std::clamp(settings_.migration_price, kLeastMigrationPrice, kMostMigrationPrice);
-  const double from_objective_share = std::clamp(-1 / std::log(kMigrationWorth * price), 0.5, 1.0);
-  return slow(now) && latency_ > objective() * from_objective_share;
+  const double price = std::clamp(settings_.migration_price, kMinMigrationPrice, kMaxMigrationPrice);
+  const double min_objective_share = std::clamp(-1 / std::log(kMinBenefitOverPrice * price), 0.5, 1.0);
+  return is_slow(now) && latency_ > objective() * min_objective_share;
 }
 
-bool MessageLatency::at_connection_cap(TimePoint now, int open_connections) const {
-  return cap_ && now - cap_->set_at < kCapHeldFor && open_connections >= cap_->connections;
+bool MessageLatency::is_at_connection_cap(TimePoint now, int open_connections) const {
+  return cap_ && now - cap_->set_at < kConnectionCapLifetime && open_connections >= cap_->connections;
 }
 
 }  // namespace dapplewharf
--- a/src/policy/messages.h
+++ b/src/policy/messages.h
@@ -1,7 +1,7 @@
 // The messages that the parts of the policy (EndpointSet, Endpoint, EndpointSelector, RequestTable) post to
-// each other: one small struct for each kind, a variant for each addressee. Also the context that all parts
-// share: the clock, the settings, the random generator, the mailboxes and the actions decided so far. No
-// decisions.
+// each other: one small struct for each kind of message and one variant for each addressee. Also
+// PolicyContext, which all parts share: the time, the settings, the random generator, the mailboxes and the
+// actions of the current call. Contains no decisions.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -26,91 +26,91 @@
 
 // --- to an endpoint ---
 
-/// The endpoint list names this endpoint.
+/// The endpoint list contains this endpoint.
 struct EndpointListed {
   EndpointEntry entry;
   FleetStatistics fleet;
-  std::optional<double> connections;  // of all nodes, as its weight tells; nothing: untold
-  bool is_new = false;                // to a list that was known before
+  std::optional<double> connections_all_nodes;  // derived from a load-following weight; nothing: unknown
+  bool is_new = false;                          // added to the list after this node's first list
 };
 
-/// The complete endpoint list does not name this endpoint any more.
+/// The complete endpoint list no longer contains this endpoint.
 struct EndpointUnlisted {};
 
-/// Something that this endpoint wanted to be woken for may be due.
-struct EndpointTick {
+/// The time for which this endpoint asked to be woken up has come.
+struct EndpointWakeUp {
   FleetStatistics fleet;
 };
 
-/// The endpoints that may take a request, and how far they have been asked.
+/// The endpoints that may take a request, and which of them is asked next.
 struct CandidateList {
   std::string request_id;
   TimePoint deadline = 0;
   bool is_mid_connection = false;
   std::shared_ptr<const std::vector<std::string>> endpoints;  // in the order in which they are asked
-  std::size_t asked = 0;  // so many of them were, and the index of the next one
-  int passed_over = 0;    // so many were checked and passed
+  std::size_t next_index = 0;                                 // in endpoints; all before it have been asked
+  int passed_over_count = 0;  // endpoints that declined after a failed health check or a report of high load
   FleetStatistics fleet;
 };
 
-/// May this endpoint take the request? Answered with Admitted or Declined.
+/// Asks an endpoint to take a request. Answered with Admitted or Declined.
 struct AdmissionRequest {
   CandidateList candidates;
 };
 
-/// A connection from before this node's start stands here.
-struct ConnectionOpened {};
+/// A connection that was established before this node started stands at this endpoint.
+struct ConnectionRestored {};
 
-/// An attempt here has become an established connection.
+/// An attempt at this endpoint has become an established connection.
 struct AttemptSucceeded {
-  bool in_time = true;
+  bool counts_as_success = true;  // false: the setup took too long, which counts as a failure
 };
 
-/// An attempt here, or the connection that it became, has ended.
+/// An attempt at this endpoint, or the connection that it became, has ended.
 struct AttemptFinished {
   Outcome outcome = Outcome::succeeded;
   bool was_established = false;
 };
 
-/// How long messages take here, in ticks of 0.1 ms with fractions.
+/// The message latency at this endpoint, in ticks of 0.1 ms with fractions.
 struct LatencyObserved {
   double latency = 0;
 };
 
-/// What other nodes hold here.
+/// The number of connections of all other nodes at this endpoint; nothing: unknown.
 struct GossipObserved {
   std::optional<double> connections_elsewhere;
 };
 
 using EndpointMessage =
-    std::variant<EndpointListed, EndpointUnlisted, EndpointTick, AdmissionRequest, ConnectionOpened,
+    std::variant<EndpointListed, EndpointUnlisted, EndpointWakeUp, AdmissionRequest, ConnectionRestored,
                  AttemptSucceeded, AttemptFinished, LatencyObserved, GossipObserved, HealthCheckEnded>;
 
 // --- to the endpoint set and the selector ---
 
 /// An endpoint's status has changed.
-struct StatusChanged {
+struct EndpointStatusChanged {
   std::string endpoint;
   EndpointStatus status;
 };
 
-/// Weights are frozen from now on, or free again.
+/// Weights have been frozen, or are no longer frozen.
 struct WeightsFreezeChanged {
   bool frozen = false;
 };
 
-/// What the selector goes by, besides the endpoints' status.
+/// What the selection for a request depends on, besides the endpoints' status.
 struct SelectionQuery {
   RequestAttributes request;
-  std::vector<std::string> tried;            // endpoints of earlier attempts
-  std::set<std::string> affinity_endpoints;  // those that hold connections of its group
-  int group_connections = 0;                 // connections of its group that stand here
-  std::string deduplicating_endpoint;        // repeats are dropped around this endpoint only; empty: anywhere
-  DeduplicationScope scope = DeduplicationScope::cell;
-  bool shortage = false;  // some request found no endpoint a moment ago, during a surge
+  std::vector<std::string> tried_endpoints;  // endpoints of the request's earlier attempts
+  std::set<std::string> affinity_endpoints;  // where this node has connections of the request's group
+  int open_group_connections = 0;            // this node's connections of the request's group
+  std::string deduplicating_endpoint;        // repeats are safe only within scope of it; empty: anywhere
+  DeduplicationScope deduplication_scope = DeduplicationScope::cell;
+  bool is_capacity_short = false;  // some request recently found no endpoint during a surge
 };
 
-/// Which endpoints may take this request? Answered with CandidateList.
+/// Asks for the endpoints that may take a request. Answered with CandidateList.
 struct SelectEndpoints {
   std::shared_ptr<const SelectionQuery> query;
   FleetStatistics fleet;  // filled in by the endpoint set
@@ -118,12 +118,12 @@
 
 using EndpointSetMessage =
     std::variant<EndpointsCached, EndpointsSnapshot, EndpointsUpdate, EndpointWatchFailed, ShutdownStarted,
-                 TimerFired, StatusChanged, SelectEndpoints>;
-using SelectorMessage = std::variant<StatusChanged, WeightsFreezeChanged, SelectEndpoints>;
+                 TimerFired, EndpointStatusChanged, SelectEndpoints>;
+using SelectorMessage = std::variant<EndpointStatusChanged, WeightsFreezeChanged, SelectEndpoints>;
 
 // --- to the request table ---
 
-/// The endpoint takes the request; its attempt is counted there already.
+/// The endpoint takes the request and already counts the attempt among its open connections.
 struct Admitted {
   std::string request_id;
   std::string endpoint;
@@ -134,13 +134,13 @@
   CandidateList candidates;
 };
 
-/// Connections are to migrate off an endpoint, or off all.
+/// Connections are to migrate off one endpoint, or off all endpoints.
 struct MigrateConnections {
-  std::string endpoint;              // empty: off all endpoints
-  double share = 0;                  // of the groups there
-  int budget = 0;                    // connections that may migrate within a second
-  bool whole_groups = false;         // connections of one group go together
-  bool endpoint_is_leaving = false;  // it drains or is removed
+  std::string endpoint;                // empty: all endpoints
+  double migration_share = 0;          // of the affinity groups (or clients) at the endpoint, from 0 to 1
+  int migration_budget = 0;            // connections that may migrate within a second
+  bool keeps_groups_together = false;  // connections of one affinity group migrate together
+  bool is_endpoint_leaving = false;    // the endpoint drains or has been removed
 };
 
 using RequestTableMessage =
@@ -148,34 +148,35 @@
                  LoadReported, LatencyReported, RequestStalled, ClientDisconnected, CandidateList, Admitted,
                  Declined, MigrateConnections>;
 
-/// Messages for one addressee. What is posted becomes readable when it is delivered, so that nobody posts
-/// into the messages that are being read.
+/// The messages for one addressee. A posted message reaches the inbox only with the next call of deliver(),
+/// so that no message is added to an inbox while it is being read.
 template <class Message>
 struct Mailbox {
   std::vector<Message> posted;
   std::vector<Message> inbox;
 
+  /// Moves the posted messages to the end of the inbox.
   void deliver() {
     std::move(posted.begin(), posted.end(), std::back_inserter(inbox));
     posted.clear();
   }
 };
 
-/// What all parts of the policy use.
+/// State that all parts of the policy share.
 struct PolicyContext {
   Settings settings;
   RandomGenerator random;
   TimePoint now = 0;
-  std::vector<PolicyAction> actions{};
-  std::vector<std::pair<std::string, EndpointMessage>> posted_to_endpoints{};  // by the endpoint's id
+  std::vector<PolicyAction> actions{};                                         // of the current call
+  std::vector<std::pair<std::string, EndpointMessage>> posted_to_endpoints{};  // with the endpoint's id
   Mailbox<EndpointSetMessage> endpoint_set{};
   Mailbox<SelectorMessage> selector{};
   Mailbox<RequestTableMessage> request_table{};
 
-  // Messages and actions are built in place.
-  template <class One>
-  void act(One&& action) {
-    actions.emplace_back(std::forward<One>(action));
+  // The templates construct the variant in place, without a copy of the message or action.
+  template <class Action>
+  void add_action(Action&& action) {
+    actions.emplace_back(std::forward<Action>(action));
   }
   void log(std::string text) { actions.push_back(LogMessage{std::move(text)}); }
   template <class Message>
--- a/src/policy/recovery_ramp.cpp
+++ b/src/policy/recovery_ramp.cpp
@@ -8,40 +8,41 @@
 namespace {
 
 constexpr double kWeightShares[] = {0.05, 0.20, 0.50, 1.00};  // by step
-constexpr Duration kMinStepTime = kSecond;                    // several hurried health checks fit in
+constexpr Duration kMinStepDuration = kSecond;  // long enough for several health checks of a suspect endpoint
 constexpr Duration kFirstCooldown = 2 * kSecond;
-constexpr Duration kLongestCooldown = 3600 * kSecond;
-constexpr Duration kFallRemembered = 60 * kSecond;
-constexpr std::size_t kMostDoublings = 20;  // the shift below stays within 64 bits
+constexpr Duration kMaxCooldown = 3600 * kSecond;
+constexpr Duration kDegradationMemory = 60 * kSecond;
+constexpr std::size_t kMaxCooldownDoublings = 20;  // keeps the shift below within 64 bits
 
 }  // namespace
 
 void RecoveryRamp::restart(TimePoint now) {
   step_ = 0;
-  step_since_ = now;
+  step_started_at_ = now;
 }
 
 void RecoveryRamp::restart_after_cooldown(TimePoint now) {
-  std::erase_if(falls_, [now](TimePoint fell_at) { return now - fell_at > kFallRemembered; });
-  const Duration cooldown = kFirstCooldown << std::min(falls_.size(), kMostDoublings);
-  falls_.push_back(now);
-  restart(now + std::min(cooldown, kLongestCooldown));
+  std::erase_if(recent_degradations_,
+                [now](TimePoint degraded_at) { return now - degraded_at > kDegradationMemory; });
+  const Duration cooldown = kFirstCooldown << std::min(recent_degradations_.size(), kMaxCooldownDoublings);
+  recent_degradations_.push_back(now);
+  restart(now + std::min(cooldown, kMaxCooldown));
 }
 
 void RecoveryRamp::advance(TimePoint now) {
   ++step_;
-  step_since_ = now;
+  step_started_at_ = now;
 }
 
 TimePoint RecoveryRamp::next_step_at() const {
-  return complete() ? kNever : step_since_ + kMinStepTime;
+  return is_complete() ? kNever : step_started_at_ + kMinStepDuration;
 }
 
-bool RecoveryRamp::complete() const {
+bool RecoveryRamp::is_complete() const {
   return step_ >= kLastStep;
 }
 
-double RecoveryRamp::share() const {
+double RecoveryRamp::weight_share() const {
   return kWeightShares[step_];
 }
 
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -44,7 +44,7 @@
   request.is_established = true;
   request.is_pending = event.is_pending;
   request.attempts.push_back({{event.endpoint, {}, {}}, context_.now, true, true});
-  context_.post_to_endpoint(event.endpoint, ConnectionOpened{});
+  context_.post_to_endpoint(event.endpoint, ConnectionRestored{});
 }
 
 void RequestTable::handle(const AttemptEstablished& event) {
@@ -108,7 +108,7 @@
       continue;
     }
     // Connections that migrate faster than other endpoints have room for would only migrate again.
-    if (static_cast<int>(migrations_.size()) >= message.budget) {
+    if (static_cast<int>(migrations_.size()) >= message.migration_budget) {
       return;
     }
     migrate(request);
@@ -239,7 +239,7 @@
     const Request& other = one.second;
     return !other.is_answered && other.is_established && other.attributes.tenant == request.attributes.tenant;
   });
-  return quota > 0 && static_cast<double>(open) + 1 >= quota + kConnectionsOverMean;
+  return quota > 0 && static_cast<double>(open) + 1 >= quota + kConnectionCountMargin;
 }
 
 // Begins the search for an endpoint, for a first attempt or a retry, or gives the final answer where none may
@@ -259,18 +259,18 @@
       if (other.is_established && !other.is_answered &&
           other.attributes.affinity_group == request.attributes.affinity_group) {
         query->affinity_endpoints.insert(other.attempts.back().location.host);
-        ++query->group_connections;
+        ++query->open_group_connections;
       }
     }
   }
   for (const Attempt& earlier : request.attempts) {
-    query->tried.push_back(earlier.location.host);
+    query->tried_endpoints.push_back(earlier.location.host);
     if (request.repeat_rule.idempotency == Idempotency::deduplicated && earlier.may_have_run) {
       query->deduplicating_endpoint = earlier.location.host;
     }
   }
-  query->scope = request.repeat_rule.scope;
-  query->shortage = shortage_at_ && context_.now - *shortage_at_ < kConditionHeld;
+  query->deduplication_scope = request.repeat_rule.scope;
+  query->is_capacity_short = shortage_at_ && context_.now - *shortage_at_ < kEndpointConditionLifetime;
   context_.post_to_endpoint_set(SelectEndpoints{std::move(query), {}});
 }
 
@@ -279,8 +279,8 @@
   if (!request || request->is_answered) {
     return;
   }
-  const bool is_surge = candidates.fleet.surge_rate > 0;
-  const bool none_left = candidates.asked >= candidates.endpoints->size();
+  const bool is_surge = candidates.fleet.surge_share_per_second > 0;
+  const bool none_left = candidates.next_index >= candidates.endpoints->size();
   if (is_surge && none_left) {
     shortage_at_ = context_.now;
   }
@@ -288,9 +288,9 @@
   if (gives_way || none_left || context_.now >= request->attributes.deadline) {
     return answer_finally(*request);
   }
-  const std::string& endpoint = (*candidates.endpoints)[candidates.asked];
+  const std::string& endpoint = (*candidates.endpoints)[candidates.next_index];
   AdmissionRequest message{candidates};
-  ++message.candidates.asked;
+  ++message.candidates.next_index;
   context_.post_to_endpoint(endpoint, std::move(message));
 }
 
@@ -306,7 +306,7 @@
   }
   request.attempts.push_back({{endpoint, {}, {}}, context_.now, true, true});
   ++attempts_in_flight_;
-  context_.act(StartAttempt{id, endpoint, timeout_of(request)});
+  context_.add_action(StartAttempt{id, endpoint, timeout_of(request)});
 }
 
 // An attempt that no other may follow gets all the time that is left. So does one behind a dependency that
@@ -330,12 +330,12 @@
   }
   const std::string& id = request.attributes.id;
   if (!may_be_rejected(request.repeat_rule, request.attempts)) {
-    return context_.act(FailRequest{id});
+    return context_.add_action(FailRequest{id});
   }
   const Settings& settings = context_.settings;
   const auto longest = static_cast<double>(settings.retry_after_allowed ? settings.max_retry_after : 0);
   const double share = kLeastRetryAfterShare + (1 - kLeastRetryAfterShare) * context_.random.next_fraction();
-  context_.act(RejectRequest{id, static_cast<Duration>(longest * share)});
+  context_.add_action(RejectRequest{id, static_cast<Duration>(longest * share)});
 }
 
 // Whole groups migrate, the same at every node, so that a group's work is not done at two endpoints. A
@@ -349,20 +349,21 @@
     return false;
   }
   // A connection that its endpoint has not confirmed yet would be ended by a fault that may pass.
-  if (request.is_pending && !endpoint.empty() && !message.endpoint_is_leaving) {
+  if (request.is_pending && !endpoint.empty() && !message.is_endpoint_leaving) {
     return false;
   }
   const RequestAttributes& attributes = request.attributes;
-  const std::optional<std::int64_t>& key =
-      attributes.affinity_group && message.whole_groups ? attributes.affinity_group : attributes.client_key;
+  const std::optional<std::int64_t>& key = attributes.affinity_group && message.keeps_groups_together
+                                               ? attributes.affinity_group
+                                               : attributes.client_key;
   const std::uint64_t group = hash(key ? static_cast<std::uint64_t>(*key) : hash(attributes.id));
-  return static_cast<double>(hash(group ^ hash(endpoint)) >> 32) < message.share * kHashRange;
+  return static_cast<double>(hash(group ^ hash(endpoint)) >> 32) < message.migration_share * kHashRange;
 }
 
 // The client comes back as a new request.
 void RequestTable::migrate(Request& request) {
   request.is_answered = true;
-  context_.act(MigrateConnection{request.attributes.id, request.attempts.back().location.host});
+  context_.add_action(MigrateConnection{request.attributes.id, request.attempts.back().location.host});
   migrations_.push_back(context_.now);
 }
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,6 +1,6 @@
-// Slow start: how many connections this node may open to an endpoint that has just started and cannot bear
-// its full load yet. All nodes divide what such an endpoint bears by the one clock that they share, its age.
-// Design: docs/design.md.
+// Slow start: how many connections this node may open to an endpoint that has started recently and cannot
+// take its full load yet. Nodes divide the endpoint's capacity among them without communicating, by the
+// endpoint's age, which is the same at every node. Design: docs/design.md.
 #pragma once
 #include <string>
 
@@ -11,58 +11,60 @@
 
 namespace dapplewharf {
 
-/// What is known around an endpoint in slow start when a connection is to be admitted.
+/// The inputs for a decision on one new connection to an endpoint in slow start.
 struct SlowStartConditions {
-  double size = 1;                     // the endpoint's relative capacity
-  double sustained_by_warm = 0;        // connections of this node at a warm endpoint of its kind, for size 1
-  double quota_per_size = 0;           // connections of all nodes that tenants' quotas grant, for size 1
-  double selections_per_size = 0;      // selections by this node within kSelectionWindow, for size 1
-  double group_selections = 0;         // those for the connection's affinity group
-  bool is_surge = false;               // some endpoint has trouble: new connections are limited
-  bool reports_headroom = false;       // the endpoint itself reported little load just now
-  bool knows_other_nodes_use = false;  // other nodes told what they hold here
+  double capacity = 1;  // of the endpoint, relative to a standard endpoint
+  double sustained_per_capacity =
+      0;  // connections of this node at a warm endpoint of its machine type and capacity 1
+  double quota_per_capacity = 0;       // connections of all nodes that tenants' quotas grant, for capacity 1
+  double selections_per_capacity = 0;  // this node's selections within kSelectionWindow, for capacity 1
+  double group_selections = 0;         // those among them that were for the connection's affinity group
+  bool is_surge = false;               // new connections are limited because some endpoint is overloaded
+  bool reports_headroom = false;       // the endpoint recently reported spare capacity
+  bool knows_other_nodes_connections = false;  // other nodes' connections to the endpoint are known
 };
 
-/// The warm-up of one endpoint and this node's part of what it may be sent meanwhile.
+/// The slow start of one endpoint and this node's share of the connections that it may get meanwhile.
 class SlowStart {
  public:
-  /// @param settings must outlive this object; read anew at each call.
+  /// @param settings are read at each call and must outlive this object.
   SlowStart(const Settings& settings, const std::string& endpoint_id);
 
-  /// Sets when the endpoint started; 0: long ago.
-  void set_started(TimePoint started) { started_ = started; }
-  [[nodiscard]] TimePoint started() const { return started_; }
+  /// Sets the time when the endpoint started; 0: long ago.
+  void set_started_at(TimePoint started_at) { started_at_ = started_at; }
+  [[nodiscard]] TimePoint started_at() const { return started_at_; }
 
-  /// Time since the endpoint's start; the whole warm-up time where the start is long ago.
+  /// The time since the endpoint's start; the whole warm-up time if the start is long ago.
   [[nodiscard]] Duration age(TimePoint now) const;
 
-  /// Whether the endpoint is still warming up.
-  [[nodiscard]] bool active(TimePoint now) const { return age(now) < settings_.warm_up_time; }
+  /// Whether the endpoint is still in slow start.
+  [[nodiscard]] bool is_active(TimePoint now) const { return age(now) < settings_.warm_up_time; }
 
-  /// When the warm-up ends; 0 where the start is long ago.
+  /// When slow start ends; 0 if the endpoint started long ago.
   [[nodiscard]] TimePoint ends_at() const;
 
-  /// Whether this node may open one more connection to the endpoint while it warms up.
-  /// @param sent what this node has sent there of late.
-  /// @param random drawn from only when neither a slot nor the allowance decides.
+  /// Whether this node may open one more connection to the endpoint during slow start.
+  /// @param sent this node's recent work at the endpoint.
+  /// @param random drawn from only if this node has no slot left and its random allowance is below one
+  /// connection.
   [[nodiscard]] bool admits_connection(TimePoint now, const SlowStartConditions& conditions,
                                        const SentWorkWindow& sent, RandomGenerator& random) const;
 
-  /// New connections that this node may have opened in total by this age, with fractions; what it may open
-  /// within a window is the difference of two such values.
+  /// The number of connections, with fractions, that this node may have opened in total when the endpoint has
+  /// this age. The allowance within a window is the difference of two such values.
   /// @param age ticks of 0.1 ms since the endpoint's start.
   [[nodiscard]] double allowance_since_start(double age, const SlowStartConditions& conditions) const;
 
  private:
   [[nodiscard]] double sustainable_connections(const SlowStartConditions& conditions) const;
   [[nodiscard]] double slot_offset() const;
-  [[nodiscard]] bool admits_by_chance(TimePoint now, double allowance_in_window,
+  [[nodiscard]] bool admits_at_random(TimePoint now, double allowance_in_window,
                                       const SlowStartConditions& conditions, const SentWorkWindow& sent,
                                       RandomGenerator& random) const;
 
   const Settings& settings_;
   double endpoint_hash_;
-  TimePoint started_ = 0;
+  TimePoint started_at_ = 0;
 };
 
 }  // namespace dapplewharf
--- a/tests/policy/adaptive_attempt_limit_test.cpp
+++ b/tests/policy/adaptive_attempt_limit_test.cpp
@@ -17,7 +17,7 @@
   EXPECT_TRUE(limit.shared_dependency_fails(now));
   EXPECT_FALSE(limit.forbids_attempt(4, now));
   EXPECT_TRUE(limit.forbids_attempt(5, now));
-  now += kFleetConditionHeld;
+  now += kFleetConditionLifetime;
   EXPECT_FALSE(limit.is_active(now));
   EXPECT_FALSE(limit.forbids_attempt(100, now));
 }
--- a/tests/policy/health_signal_test.cpp
+++ b/tests/policy/health_signal_test.cpp
@@ -1,48 +1,48 @@
-// The verdict of one health signal on runs of results.
+// State changes of one health signal.
 #include "policy/health_signal.h"
 
 #include <gtest/gtest.h>
 
 using namespace dapplewharf;
 
-TEST(HealthSignal, ThreeFailuresInARowDegradeIt) {
+TEST(HealthSignal, ThreeConsecutiveFailuresDegrade) {
   HealthSignal signal;
-  EXPECT_FALSE(signal.add(false));
-  EXPECT_FALSE(signal.add(false));
-  EXPECT_TRUE(signal.healthy());
-  EXPECT_TRUE(signal.in_doubt());
-  EXPECT_TRUE(signal.add(false));
-  EXPECT_FALSE(signal.healthy());
+  EXPECT_FALSE(signal.add_result(false));
+  EXPECT_FALSE(signal.add_result(false));
+  EXPECT_TRUE(signal.is_healthy());
+  EXPECT_TRUE(signal.is_suspect());
+  EXPECT_TRUE(signal.add_result(false));
+  EXPECT_FALSE(signal.is_healthy());
 }
 
-TEST(HealthSignal, ASuccessBetweenFailuresStartsTheRunAnew) {
+TEST(HealthSignal, SuccessBetweenFailuresResetsTheCount) {
   HealthSignal signal;
   for (const bool succeeded : {false, false, true, false, false}) {
-    EXPECT_FALSE(signal.add(succeeded));
+    EXPECT_FALSE(signal.add_result(succeeded));
   }
-  EXPECT_TRUE(signal.healthy());
+  EXPECT_TRUE(signal.is_healthy());
 }
 
-TEST(HealthSignal, RecoversOnlyAfterTwelveSuccessesInARow) {
+TEST(HealthSignal, RecoversAfterTwelveConsecutiveSuccesses) {
   HealthSignal signal;
   for (int i = 0; i < 3; ++i) {
-    signal.add(false);
+    signal.add_result(false);
   }
   for (int i = 1; i < kSuccessesToRecover; ++i) {
-    EXPECT_FALSE(signal.add(true));
-    EXPECT_TRUE(signal.in_doubt());
+    EXPECT_FALSE(signal.add_result(true));
+    EXPECT_TRUE(signal.is_suspect());
   }
-  EXPECT_TRUE(signal.add(true));
-  EXPECT_FALSE(signal.in_doubt());
+  EXPECT_TRUE(signal.add_result(true));
+  EXPECT_FALSE(signal.is_suspect());
 }
 
-TEST(HealthSignal, ResultsNotSeenYetCountAsSuccesses) {
+TEST(HealthSignal, MissingResultsCountAsSuccesses) {
   HealthSignal signal;
   EXPECT_DOUBLE_EQ(signal.success_share(), 1);
-  signal.add(false);
+  signal.add_result(false);
   EXPECT_DOUBLE_EQ(signal.success_share(), 1 - 1.0 / kSuccessesToRecover);
   for (int i = 0; i < kSuccessesToRecover; ++i) {
-    signal.add(true);
+    signal.add_result(true);
   }
-  EXPECT_DOUBLE_EQ(signal.success_share(), 1) << "the failure is no longer among the last results";
+  EXPECT_DOUBLE_EQ(signal.success_share(), 1) << "the failure is no longer among the last twelve results";
 }
