--- a/tests/config/platform_settings_test.cpp
+++ b/tests/config/platform_settings_test.cpp
@@ -59,7 +59,7 @@
     nlohmann::json source = sound_settings();
     source["peersTotal"] = nodes;
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = parse_platform_settings(source).node_count;
+    harness.settings["node_count"] = parse_platform_settings(source).node_count;
     EXPECT_EQ(parse_platform_settings(source).node_count, 1);
     harness.start(3);
     harness.advance_time(20000);
--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -16,19 +16,19 @@
 PolicyAction typed(const FlatAction& flat) {
   switch (flat.kind) {
     case ActionKind::start_attempt:
-      return StartAttempt{flat.id, flat.host, flat.time};
+      return StartAttempt{flat.request_id, flat.endpoint, flat.delay};
     case ActionKind::cancel_attempt:
-      return CancelAttempt{flat.id, flat.number};
+      return CancelAttempt{flat.request_id, flat.attempt_or_timer};
     case ActionKind::reject_request:
-      return RejectRequest{flat.id, flat.time};
+      return RejectRequest{flat.request_id, flat.delay};
     case ActionKind::fail_request:
-      return FailRequest{flat.id};
+      return FailRequest{flat.request_id};
     case ActionKind::migrate_connection:
-      return MigrateConnection{flat.id, flat.host};
+      return MigrateConnection{flat.request_id, flat.endpoint};
     case ActionKind::check_health:
-      return CheckHealth{flat.host};
+      return CheckHealth{flat.endpoint};
     case ActionKind::set_timer:
-      return SetTimer{flat.number, flat.time};
+      return SetTimer{flat.attempt_or_timer, flat.delay};
     case ActionKind::watch_endpoints:
       return WatchEndpoints{};
     case ActionKind::fetch_endpoints:
@@ -58,7 +58,7 @@
     FlatEvent list;
     list.kind = EventKind::endpoints_cached;
     for (int i = 0; i < hosts; ++i) {
-      list.entries.push_back(endpoint_entry("h" + std::to_string(i)));
+      list.endpoints.push_back(endpoint_entry("h" + std::to_string(i)));
     }
     send_event(list);
   }
@@ -68,17 +68,17 @@
       shadow->follow(now, {from_flat(event)}, typed(last_actions));
     }
     for (const FlatAction& action : last_actions) {
-      actions += std::to_string(static_cast<int>(action.kind)) + " " + action.id + " " + action.host + " " +
-                 std::to_string(action.time) + "\n";
+      actions += std::to_string(static_cast<int>(action.kind)) + " " + action.request_id + " " +
+                 action.endpoint + " " + std::to_string(action.delay) + "\n";
     }
     return last_actions;
   }
   FlatEvent of(EventKind kind, const std::string& id) {
     FlatEvent event;
     event.kind = kind;
-    event.id = id;
-    event.host = attempts[id].empty() ? "" : attempts[id].back();
-    event.number = static_cast<int>(attempts[id].size()) - 1;
+    event.request_id = id;
+    event.endpoint = attempts[id].empty() ? "" : attempts[id].back();
+    event.attempt_or_timer = static_cast<int>(attempts[id].size()) - 1;
     return event;
   }
 
@@ -87,12 +87,12 @@
     for (int i = 0; i < 120; ++i) {
       now += 2000;
       FlatEvent alarm;
-      alarm.number = 1;
+      alarm.attempt_or_timer = 1;
       send_event(alarm);
       answer_health_checks();
       const std::string id = "a" + std::to_string(i);
       FlatEvent wish = request_from_tenant("");
-      wish.id = id;
+      wish.request_id = id;
       wish.client_key = i;
       wish.affinity_group = i % 7;
       send_event(wish);
@@ -107,7 +107,7 @@
       if (i % 11 == 3) {
         send_event(of(EventKind::client_disconnected, id));
         FlatEvent gone = of(EventKind::attempt_ended, id);
-        gone.outcome = Outcome::cancelled, gone.final = true;
+        gone.outcome = Outcome::cancelled, gone.is_final = true;
         send_event(gone);
         continue;
       }
@@ -116,24 +116,24 @@
       send_event(up);
       if (i % 3 == 0) {
         FlatEvent over = of(EventKind::attempt_ended, id);
-        over.final = true;
+        over.is_final = true;
         send_event(over);
       }
       if (i == 60) {
         FlatEvent change;
         change.kind = EventKind::endpoints_update;
-        change.entries.push_back(endpoint_entry("h1"));
-        change.entries.back().state = EndpointState::draining;
+        change.endpoints.push_back(endpoint_entry("h1"));
+        change.endpoints.back().state = EndpointState::draining;
         send_event(change);
       }
       if (i >= 80 && i < 84) {
         FlatEvent late = of(EventKind::latency_reported, id);
-        late.figure = 600;
+        late.value = 600;
         send_event(late);
       }
       for (const std::string& one : std::exchange(migrated, {})) {
         FlatEvent end = of(EventKind::attempt_ended, one);
-        end.outcome = Outcome::cancelled, end.final = true;
+        end.outcome = Outcome::cancelled, end.is_final = true;
         send_event(end);
       }
     }
@@ -173,9 +173,10 @@
     std::variant<double, std::string> value;
     std::uint64_t ShadowCounts::*kind;
   };
-  for (const Case& one : {Case{"max_tries", 1.0, &ShadowCounts::would_reject},
-                          Case{"message_goal.0", 5000.0, &ShadowCounts::would_stay},
-                          Case{"zone", std::string("far"), nullptr}, Case{"report.load", 0.0, nullptr}}) {
+  for (const Case& one :
+       {Case{"max_attempts", 1.0, &ShadowCounts::would_reject},
+        Case{"message_latency_objective.0", 5000.0, &ShadowCounts::would_stay},
+        Case{"zone", std::string("far"), nullptr}, Case{"load_report_index", 0.0, nullptr}}) {
     Watched fleet;
     SettingsMap others = fleet.settings;
     others[one.setting] = one.value;
@@ -191,7 +192,7 @@
   // The other way round: the real one tries once, the other settings would try again.
   Watched strict;
   const SettingsMap others = strict.settings;
-  strict.settings["max_tries"] = 1.0;
+  strict.settings["max_attempts"] = 1.0;
   strict.begin(6, others);
   strict.day();
   EXPECT_GT(strict.shadow->counts().would_attempt, 10u) << strict.shadow->counts().format();
@@ -201,8 +202,8 @@
 TEST(Shadow, WeightsThatMoveAreReadByTheNewShapeOnly) {
   Watched fleet;
   SettingsMap others = fleet.settings;
-  others["weights"] = std::string("live");
-  fleet.settings["nodes"] = others["nodes"] = 30.0;
+  others["weights_follow_load"] = 1.0;
+  fleet.settings["node_count"] = others["node_count"] = 30.0;
   fleet.begin(6, others);
   fleet.day();
   const std::uint64_t before =
@@ -210,8 +211,8 @@
   FlatEvent change;
   change.kind = EventKind::endpoints_update;
   for (int i = 0; i < 6; ++i) {
-    change.entries.push_back(LoadBalancerHarness::endpoint_entry("h" + std::to_string(i)));
-    change.entries.back().size = i < 3 ? 0.02 : 0.5;
+    change.endpoints.push_back(LoadBalancerHarness::endpoint_entry("h" + std::to_string(i)));
+    change.endpoints.back().size = i < 3 ? 0.02 : 0.5;
   }
   fleet.send_event(change);
   fleet.day();
--- a/tests/node/transient_faults_test.cpp
+++ b/tests/node/transient_faults_test.cpp
@@ -10,7 +10,7 @@
 #include "support/system_faults.h"
 
 using namespace dapplewharf;
-using faults::Call;
+using faults::SystemCall;
 
 namespace {
 
@@ -43,7 +43,7 @@
     const auto [client, host] = standing(harness);
     harness.run_for(20);
     // At the node alone: its peer there is the host's port.
-    faults::inject({Call::recv, error, 1, 0, 500, ntohs(harness.endpoint_address.sin_port)});
+    faults::inject({SystemCall::recv, error, 1, 0, 500, ntohs(harness.endpoint_address.sin_port)});
     harness.socket(host).send("a line\r\n", 8);
     if (error == ECONNRESET) {
       EXPECT_TRUE(harness.was_reset(client));
@@ -55,12 +55,12 @@
 }
 
 TEST_F(Passing, AReadOrWriteThatFailsForAMomentCutsNobodyOff) {
-  for (const auto& [call, error] : {std::pair(Call::recv, ENOBUFS),
-                                    {Call::recv, EINTR},
-                                    {Call::recv, ENOMEM},
-                                    {Call::send, ENOBUFS},
-                                    {Call::send, EINTR},
-                                    {Call::send, ENOMEM}}) {
+  for (const auto& [call, error] : {std::pair(SystemCall::recv, ENOBUFS),
+                                    {SystemCall::recv, EINTR},
+                                    {SystemCall::recv, ENOMEM},
+                                    {SystemCall::send, ENOBUFS},
+                                    {SystemCall::send, EINTR},
+                                    {SystemCall::send, ENOMEM}}) {
     SCOPED_TRACE(error);
     NodeHarness harness;
     const auto [client, host] = standing(harness);
@@ -75,7 +75,7 @@
 
 TEST_F(Passing, ShortWritesChangeNoAnswer) {
   NodeHarness harness(64);  // an eighth of them for silent clients
-  faults::inject({Call::send, 0, 1, 0, -1, 0, 0, true});
+  faults::inject({SystemCall::send, 0, 1, 0, -1, 0, 0, true});
   const int known = harness.connect_client("PING\r\n");
   EXPECT_EQ(harness.read(known, 6), "PONG\r\n");
   const int longest = harness.connect_client("");
@@ -91,7 +91,7 @@
   fleet.start(3);
   for (int i = 0; i < 12; ++i) {
     FlatEvent unsent;
-    unsent.kind = EventKind::health_check_ended, unsent.host = "h1", unsent.outcome = Outcome::not_sent;
+    unsent.kind = EventKind::health_check_ended, unsent.endpoint = "h1", unsent.outcome = Outcome::not_sent;
     fleet.send_event(unsent);
     for (const FlatAction& action : fleet.last_actions) {
       EXPECT_EQ(action.text.find("health_degraded signal=active"), std::string::npos) << action.text;
@@ -100,17 +100,18 @@
 }
 
 TEST_F(Passing, AListServiceThatCannotBeDialledForAMomentIsAskedAgain) {
-  for (const auto& [call, error] : {std::pair(Call::connect, ENETUNREACH), {Call::socket, ENFILE}}) {
+  for (const auto& [call, error] :
+       {std::pair(SystemCall::connect, ENETUNREACH), {SystemCall::socket, ENFILE}}) {
     SCOPED_TRACE(error);
     NodeHarness harness;
     EXPECT_TRUE(harness.run_until(
         [&] { return harness.discovery_connections == 1 && harness.discovery_request.size() > 4; }));
-    faults::inject(
-        {call, error, 1, 0, 300, call == Call::connect ? ntohs(harness.discovery_address.sin_port) : 0});
-    const std::int64_t before = faults::hits();
+    faults::inject({call, error, 1, 0, 300,
+                    call == SystemCall::connect ? ntohs(harness.discovery_address.sin_port) : 0});
+    const std::int64_t before = faults::affected_calls();
     harness.socket(harness.keep_socket(std::move(harness.discovery_connection))).close_with_reset();
     EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 2; }, 3000));
-    EXPECT_GT(faults::hits(), before);
+    EXPECT_GT(faults::affected_calls(), before);
     faults::clear();
   }
 }
@@ -148,7 +149,7 @@
   sockaddr_in at{};
   at.sin_family = AF_INET;
   at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  faults::inject({Call::socket, ENFILE, 1, 0, 250});
+  faults::inject({SystemCall::socket, ENFILE, 1, 0, 250});
   EXPECT_FALSE(listen_on(at, taken));
   EXPECT_TRUE(taken);
 }
--- a/tests/policy/backoff_test.cpp
+++ b/tests/policy/backoff_test.cpp
@@ -49,9 +49,9 @@
   for (const double nodes : {1.0, 30.0, 350.0}) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
       LoadBalancerHarness harness;
-      harness.settings["nodes"] = nodes;
+      harness.settings["node_count"] = nodes;
       harness.settings["discovery"] = "on_request";
-      harness.settings["ask_within"] = 100000.0;
+      harness.settings["notified_within"] = 100000.0;
       harness.start(3, seed);
       for (int lost = 0; lost < 12; ++lost) {
         const TimePoint from = harness.now;
--- a/tests/policy/endpoint_slow_start_test.cpp
+++ b/tests/policy/endpoint_slow_start_test.cpp
@@ -43,7 +43,7 @@
   int sent = 0;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 200.0, harness.settings["me"] = static_cast<double>(seed);
+    harness.settings["node_count"] = 200.0, harness.settings["node_index"] = static_cast<double>(seed);
     harness.start(1, seed);
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0", "near", harness.now),
                             EndpointState::healthy);
@@ -58,9 +58,9 @@
   for (int n = 0; n < 200; ++n) {
     for (const bool told : {true, false}) {
       LoadBalancerHarness harness;
-      harness.settings["nodes"] = 100.0, harness.settings["me"] = static_cast<double>(n % 100);
+      harness.settings["node_count"] = 100.0, harness.settings["node_index"] = static_cast<double>(n % 100);
       harness.settings["tenant.0.name"] = std::string("one");
-      harness.settings["tenant.0.open"] = 40.0;
+      harness.settings["tenant.0.connection_quota"] = 40.0;
       harness.start(1, static_cast<std::uint64_t>(n));
       harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0", "near", harness.now),
                               EndpointState::healthy);
@@ -80,9 +80,9 @@
   int all = 0;
   for (int n = 0; n < 100; ++n) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 100.0, harness.settings["me"] = static_cast<double>(n);
+    harness.settings["node_count"] = 100.0, harness.settings["node_index"] = static_cast<double>(n);
     harness.settings["tenant.0.name"] = std::string("one");
-    harness.settings["tenant.0.open"] =
+    harness.settings["tenant.0.connection_quota"] =
         400.0;  // 100 for each host: 2.5 x 0.3 x 100 / 4 = 19 in a window at first
     harness.start(2, static_cast<std::uint64_t>(n));
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("c0", "near", harness.now - 10000),
@@ -104,8 +104,8 @@
   std::map<double, int> taken;
   for (const double load : {0.1, 0.9}) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 3.0;
-    harness.settings["report.load"] = 0.0;
+    harness.settings["node_count"] = 3.0;
+    harness.settings["load_report_index"] = 0.0;
     harness.reported_load = load;
     harness.start(4);
     harness.advance_time(100000);
@@ -147,8 +147,8 @@
   int sent = 0;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 200.0, harness.settings["fall_time"] = 10000.0;
-    harness.settings["me"] = static_cast<double>(seed);
+    harness.settings["node_count"] = 200.0, harness.settings["overload_window"] = 10000.0;
+    harness.settings["node_index"] = static_cast<double>(seed);
     harness.start(40, seed);
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0", "near", harness.now - 10000),
                             EndpointState::healthy);
@@ -165,9 +165,9 @@
   std::vector<int> when(60);
   for (int n = 0; n < 100; ++n) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 100.0, harness.settings["me"] = static_cast<double>(n);
+    harness.settings["node_count"] = 100.0, harness.settings["node_index"] = static_cast<double>(n);
     harness.settings["tenant.0.name"] = std::string("one");
-    harness.settings["tenant.0.open"] =
+    harness.settings["tenant.0.connection_quota"] =
         200.0;  // 100 connections a host over eight seconds, and 2.5 times of it
     harness.start(2, static_cast<std::uint64_t>(n));
     harness.send_request("old", n);
--- a/tests/policy/endpoint_test.cpp
+++ b/tests/policy/endpoint_test.cpp
@@ -20,7 +20,7 @@
   harness.start(2);
   FlatEvent whole;
   whole.kind = EventKind::endpoints_snapshot;
-  whole.entries.push_back(LoadBalancerHarness::endpoint_entry("h1"));
+  whole.endpoints.push_back(LoadBalancerHarness::endpoint_entry("h1"));
   harness.send_event(whole);
   for (int i = 0; i < 40; ++i, harness.now += 10000) {
     EXPECT_EQ(harness.send_request("a" + std::to_string(i), i), "h1");
@@ -67,39 +67,39 @@
 
 TEST(Looks, AHostNotProbedOfLateIsProbedFirstAndPassedWhenFull) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["node_count"] = 400.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.start(4);
   EXPECT_EQ(harness.send_request("a", 1), "") << "held until the probe has answered";
   ASSERT_EQ(harness.health_checks.size(), 1u);
   const std::string home = harness.health_checks.begin()->first;
   FlatEvent answer;
   answer.kind = EventKind::health_check_ended;
-  answer.host = home;
-  answer.report = {0.9};
+  answer.endpoint = home;
+  answer.health_report = {0.9};
   harness.send_event(answer);
   ASSERT_EQ(harness.health_checks.size(), 2u);
   for (const FlatAction& action : harness.last_actions) {
     if (action.kind == ActionKind::check_health) {
-      answer.host = action.host;
+      answer.endpoint = action.endpoint;
     }
   }
-  EXPECT_NE(answer.host, home);
-  answer.report = {0.2};
+  EXPECT_NE(answer.endpoint, home);
+  answer.health_report = {0.2};
   harness.send_event(answer);
-  EXPECT_EQ(harness.attempts["a"], std::vector<std::string>{answer.host});
+  EXPECT_EQ(harness.attempts["a"], std::vector<std::string>{answer.endpoint});
 }
 
 TEST(Looks, AnAttachmentWhoseExpiryPassesMeanwhileIsAnsweredWithTheProbe) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["node_count"] = 400.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.start(1);
   harness.send_request("a", 1);
   harness.now += 30000;
   FlatEvent answer;
   answer.kind = EventKind::health_check_ended;
-  answer.host = "h0";
+  answer.endpoint = "h0";
   harness.send_event(answer);
   EXPECT_TRUE(harness.has_action(ActionKind::reject_request, "a"));
 }
@@ -107,13 +107,13 @@
 // As it was met: 22 ms left, a probe that took 40, the final answer 20 ms after the grace.
 TEST(Looks, AnAttachmentWithLittleTimeLeftIsNotHeldForAProbe) {
   LoadBalancerHarness harness;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.start(2);
   harness.send_request("a", 1);
   FlatEvent answer;
   answer.kind = EventKind::health_check_ended;
-  answer.host = harness.health_checks.begin()->first;
-  answer.report = {0.2};
+  answer.endpoint = harness.health_checks.begin()->first;
+  answer.health_report = {0.2};
   harness.send_event(answer);
   ASSERT_EQ(harness.attempts["a"].size(), 1u);
   harness.now += 30000 - 220;
@@ -125,7 +125,7 @@
 TEST(Lists, WhereOnlyDrainsBindAHostCalledGoneServesOnWhileItsProbesDo) {
   for (const bool binds_alone : {true, false}) {
     LoadBalancerHarness harness;
-    harness.settings["drain_binds_alone"] = binds_alone ? 1.0 : 0.0;
+    harness.settings["only_drains_bind"] = binds_alone ? 1.0 : 0.0;
     harness.start(1);
     harness.send_request("stands");
     harness.establish("stands");
@@ -142,7 +142,7 @@
 
 TEST(Lists, ADrainBindsAlsoWhenTheHostIsCalledGoneAfterwards) {
   LoadBalancerHarness harness;
-  harness.settings["drain_binds_alone"] = 1.0;
+  harness.settings["only_drains_bind"] = 1.0;
   harness.start(1);
   harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::draining);
   harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::removed);
@@ -154,8 +154,8 @@
   std::map<double, int> sent;
   for (const double price : {0.0, 0.004}) {
     LoadBalancerHarness harness;
-    harness.settings["report.load"] = 0.0;
-    harness.settings["price_probe"] = price;
+    harness.settings["load_report_index"] = 0.0;
+    harness.settings["health_check_price"] = price;
     harness.start(12);
     harness.advance_time(600000);
     for (const auto& [host, probes] : harness.health_checks) {
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -26,7 +26,7 @@
   harness.send_request("a");
   FlatEvent left;
   left.kind = EventKind::client_disconnected;
-  left.id = "a";
+  left.request_id = "a";
   harness.send_event(left);
   harness.end_attempt("a", Outcome::cancelled, true);
   EXPECT_TRUE(harness.last_actions.empty());
@@ -59,7 +59,7 @@
        {Outcome::error, Outcome::timed_out, Outcome::connection_lost, Outcome::cancelled}) {
     LoadBalancerHarness harness;
     harness.start(6);
-    harness.send_request("a", 1, "once");
+    harness.send_request("a", 1, "non_idempotent");
     harness.end_attempt("a", outcome);
     EXPECT_EQ(harness.attempts["a"].size(), 1u);
     EXPECT_TRUE(harness.has_action(ActionKind::fail_request, "a"));
@@ -70,7 +70,7 @@
   for (const Outcome outcome : {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent}) {
     LoadBalancerHarness harness;
     harness.start(6);
-    harness.send_request("a", 1, "once");
+    harness.send_request("a", 1, "non_idempotent");
     harness.end_attempt("a", outcome);
     EXPECT_EQ(harness.attempts["a"].size(), 2u);
   }
@@ -83,7 +83,7 @@
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("far" + std::to_string(i), "far"),
                             EndpointState::healthy);
   }
-  const std::string first = harness.send_request("a", 1, "marked");
+  const std::string first = harness.send_request("a", 1, "deduplicated");
   harness.end_attempt("a", Outcome::timed_out);
   ASSERT_EQ(harness.attempts["a"].size(), 2u);
   EXPECT_EQ(harness.attempts["a"][1][0], first[0]);
@@ -116,7 +116,7 @@
 
 TEST(EndpointSelector, WhereANodeHoldsLittleAHostIsWellOverByWhatOthersTell) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 100.0;
+  harness.settings["node_count"] = 100.0;
   harness.start(4);
   const std::string first = harness.send_request("a", 1);
   harness.end_attempt("a", Outcome::cancelled, true);
@@ -188,7 +188,7 @@
   for (int i = 0; i < 40; ++i) {
     LoadBalancerHarness harness;
     if (told >= 0) {
-      harness.settings["nodes"] = 40.0;
+      harness.settings["node_count"] = 40.0;
     }
     harness.start(4, static_cast<std::uint64_t>(i));
     for (int host = 0; told >= 0 && host < 4; ++host) {
@@ -251,18 +251,18 @@
 TEST(Fairness, WhatLiesBeyondAShareGivesWayOnlyWhileRoomIsShort) {
   LoadBalancerHarness harness;
   harness.settings["tenant.0.name"] = "guests";
-  harness.settings["tenant.0.open"] = 1.0;
+  harness.settings["tenant.0.connection_quota"] = 1.0;
   harness.start(4);
   FlatEvent event = harness.request_from_tenant("guests");
   for (const char* id : {"a", "b"}) {
-    event.id = id;
+    event.request_id = id;
     harness.send_event(event);
     EXPECT_FALSE(harness.has_action(ActionKind::reject_request)) << "there is room";
     harness.establish(id);
   }
   harness.report_latency("a", 2000);
   harness.advance_time(200);
-  event.id = "c";
+  event.request_id = "c";
   harness.send_event(event);
   EXPECT_TRUE(harness.has_action(ActionKind::reject_request, "c"));
   EXPECT_NE(harness.send_request("d", 9), "") << "others are not touched";
@@ -300,7 +300,7 @@
 
 TEST(Moves, AMessageSlowerThanAnyExpiryClearsAHostThoughItsProbesAreGood) {
   LoadBalancerHarness harness;
-  harness.settings["traffic.0.expiry"] = 30000.0;
+  harness.settings["traffic.0.deadline"] = 30000.0;
   harness.start(4);
   const std::string home = harness.send_request("a", 1);
   harness.establish("a");
@@ -311,14 +311,14 @@
 
 TEST(Crowds, AHostThatTellsOfRoomIsAskedAlsoByAGroupThatIsKeptTogether) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["node_count"] = 400.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.start(8);
   for (int i = 0; i < 8; ++i) {
     FlatEvent answer;
     answer.kind = EventKind::health_check_ended;
-    answer.host = "h" + std::to_string(i);
-    answer.report = {0.1};
+    answer.endpoint = "h" + std::to_string(i);
+    answer.health_report = {0.1};
     harness.send_event(answer);
   }
   harness.send_request("first", 1);
@@ -333,7 +333,7 @@
 
 TEST(Crowds, AGroupIsNotScatteredOverEveryHostThatStillTakesOne) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
+  harness.settings["node_count"] = 400.0;
   harness.start(8);
   harness.send_request("first", 1);
   harness.establish("first");
@@ -374,7 +374,7 @@
     for (const char* zone : {"near", "far"}) {
       LoadBalancerHarness harness;
       harness.settings["zone"] = std::string(zone);
-      harness.settings["price_crossing"] = price;
+      harness.settings["cross_zone_price"] = price;
       harness.start(4);
       for (int i = 0; i < 4; ++i) {
         harness.update_endpoint(LoadBalancerHarness::endpoint_entry("f" + std::to_string(i), "far"),
@@ -406,9 +406,9 @@
     for (const char* zone : {"near", "far"}) {
       LoadBalancerHarness harness;
       harness.settings["zone"] = std::string(zone);
-      harness.settings["price_crossing"] = 0.05;
+      harness.settings["cross_zone_price"] = 0.05;
       if (reported) {
-        harness.settings["report.load"] = 0.0, harness.reported_load = 0.1;
+        harness.settings["load_report_index"] = 0.0, harness.reported_load = 0.1;
       }
       harness.start(4);
       for (int i = 0; i < 4; ++i) {
@@ -440,9 +440,9 @@
   std::set<TimePoint> asked;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 400.0;
+    harness.settings["node_count"] = 400.0;
     harness.settings["discovery"] = "on_request";
-    harness.settings["ask_within"] = 100000.0;
+    harness.settings["notified_within"] = 100000.0;
     harness.start(3, seed);
     const TimePoint start = harness.now;
     while (!harness.has_action(ActionKind::watch_endpoints) && harness.now < start + 100000) {
@@ -457,17 +457,17 @@
 
 TEST(Fairness, AShareUnderOneDoesNotShutItsTenantOut) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
+  harness.settings["node_count"] = 400.0;
   harness.settings["tenant.0.name"] = "guests";
-  harness.settings["tenant.0.open"] = 100.0;
+  harness.settings["tenant.0.connection_quota"] = 100.0;
   harness.start(4);
   FlatEvent event = harness.request_from_tenant("guests");
-  event.id = "a";
+  event.request_id = "a";
   harness.send_event(event);
   harness.establish("a");
   harness.report_latency("a", 2000);
   for (const char* id : {"b", "c", "d", "e"}) {  // some may find their one host late
-    event.id = id;
+    event.request_id = id;
     harness.send_event(event);
     if (!harness.has_action(ActionKind::reject_request)) {
       return;
@@ -502,9 +502,9 @@
   harness.send_request("b"), harness.establish("b");
   FlatEvent unanswered;
   unanswered.kind = EventKind::request_stalled;
-  unanswered.id = "a";
+  unanswered.request_id = "a";
   for (const double waited : {10000.0, 20000.0, 30000.0, 40000.0}) {
-    unanswered.figure = waited;
+    unanswered.value = waited;
     harness.send_event(unanswered);
     EXPECT_EQ(harness.migrated.size(), waited < 30000 ? 0u : 1u);
   }
@@ -551,8 +551,8 @@
 
 TEST(LiveWeights, AWeightThatSinksAsAHostFillsMovesNoGroupAndTellsWhatItHolds) {
   LoadBalancerHarness harness;
-  harness.settings["weights"] = std::string("live");
-  harness.settings["nodes"] = 30.0;
+  harness.settings["weights_follow_load"] = 1.0;
+  harness.settings["node_count"] = 30.0;
   harness.start(0);
   const auto list = [&](const std::string& host, double weight) {
     EndpointEntry entry = LoadBalancerHarness::endpoint_entry(host);
@@ -589,7 +589,7 @@
 
 TEST(Groups, OneLargerThanAHostIsPartedWhereNobodyTellsWhatIsHeld) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 60.0;
+  harness.settings["node_count"] = 60.0;
   harness.start(20);
   harness.advance_time(100000);
   std::set<std::string> large;
@@ -613,7 +613,7 @@
 
 TEST(Moves, WhereGroupsArePartedALateHostIsNotClearedByTheGroup) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 60.0;
+  harness.settings["node_count"] = 60.0;
   harness.start(20);
   harness.advance_time(100000);
   for (int i = 0; i < 20; ++i) {
@@ -660,7 +660,7 @@
   for (const bool told : {false, true}) {
     LoadBalancerHarness harness;
     if (told) {
-      harness.settings["tenant.0.name"] = "t", harness.settings["tenant.0.open"] = 40.0;
+      harness.settings["tenant.0.name"] = "t", harness.settings["tenant.0.connection_quota"] = 40.0;
     }
     harness.start(1);
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("far", "far"), EndpointState::healthy);
@@ -675,7 +675,7 @@
   for (const bool told : {false, true}) {
     LoadBalancerHarness harness;
     if (told) {
-      harness.settings["tenant.0.name"] = "t", harness.settings["tenant.0.open"] = 200.0;
+      harness.settings["tenant.0.name"] = "t", harness.settings["tenant.0.connection_quota"] = 200.0;
     }
     harness.start(3);
     harness.advance_time(200000);
@@ -707,8 +707,8 @@
   harness.advance_time(200000);
   FlatEvent slow;
   slow.kind = EventKind::latency_reported;
-  slow.host = "h0";
-  slow.figure = 5000;
+  slow.endpoint = "h0";
+  slow.value = 5000;
   harness.send_event(slow);
   const auto at = spread(harness, 0, 20);
   EXPECT_EQ(at.count("h0"), 0u) << "it would be filled up again";
@@ -741,7 +741,7 @@
     }
     for (const FlatAction& action : harness.last_actions) {
       if (action.kind == ActionKind::start_attempt) {
-        time_out = action.time;
+        time_out = action.delay;
       }
     }
     EXPECT_EQ(time_out, 30000);
@@ -758,8 +758,8 @@
 // Tries beyond an attachment's first are rationed: two, and a tenth of what is taken, in two seconds.
 struct Rationed : LoadBalancerHarness {
   Rationed() {
-    settings["further_tries_least"] = 2.0, settings["further_tries_share"] = 0.1;
-    settings["further_tries_span"] = 20000.0;
+    settings["retry_budget_min_retries"] = 2.0, settings["retry_budget_retry_ratio"] = 0.1;
+    settings["retry_budget_window"] = 20000.0;
     start(8);
   }
   std::size_t further = 0;
@@ -802,7 +802,7 @@
 
 TEST(Budget, OneThatIsSpentWhileAHostIsLookedAtIsNotOverdrawn) {
   Rationed harness;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.reported_load = 0.2;
   harness.start(8);
   for (const char* id : {"a", "b", "c", "d"}) {
@@ -840,7 +840,7 @@
 TEST(EndpointSnapshot, WithLittleTimeForAskingAnInquiryThatFailedIsMadeAgainWithinIt) {
   LoadBalancerHarness harness;
   harness.settings["discovery"] = "on_request";
-  harness.settings["ask_within"] = 8000.0;
+  harness.settings["notified_within"] = 8000.0;
   harness.start(4);
   for (int lost = 0; lost < 6; ++lost) {
     FlatEvent event;
@@ -851,7 +851,7 @@
     for (int i = 0; i < 80 && !asked; ++i) {
       harness.now += 500;
       FlatEvent alarm;
-      alarm.number = 1;
+      alarm.attempt_or_timer = 1;
       harness.send_event(alarm);
       asked = harness.has_action(ActionKind::watch_endpoints);
     }
--- a/tests/policy/reconnect_policy_test.cpp
+++ b/tests/policy/reconnect_policy_test.cpp
@@ -6,7 +6,7 @@
 #include "support/system_faults.h"
 
 using namespace dapplewharf;
-using faults::Call;
+using faults::SystemCall;
 
 namespace {
 
@@ -59,10 +59,12 @@
 }  // namespace
 
 TEST(ReconnectPolicy, ACallThatFailsForAMomentDoesNotEndAConnectionFromBefore) {
-  const std::pair<Call, int> failing[] = {
-      {Call::connect, ENETUNREACH}, {Call::connect, ENOBUFS},      {Call::connect, EADDRNOTAVAIL},
-      {Call::connect, ENETDOWN},    {Call::connect, EAGAIN},       {Call::socket, ENFILE},
-      {Call::socket, ENOBUFS},      {Call::connect, ECONNREFUSED}, {Call::connect, EHOSTUNREACH}};
+  const std::pair<SystemCall, int> failing[] = {
+      {SystemCall::connect, ENETUNREACH},   {SystemCall::connect, ENOBUFS},
+      {SystemCall::connect, EADDRNOTAVAIL}, {SystemCall::connect, ENETDOWN},
+      {SystemCall::connect, EAGAIN},        {SystemCall::socket, ENFILE},
+      {SystemCall::socket, ENOBUFS},        {SystemCall::connect, ECONNREFUSED},
+      {SystemCall::connect, EHOSTUNREACH}};
   for (const auto& [call, error] : failing) {
     SCOPED_TRACE(std::to_string(static_cast<int>(call)) + " errno " + std::to_string(error));
     const Cleared cleared;
@@ -71,14 +73,14 @@
     EXPECT_EQ(start_connecting(harness.node_address, 1024, 0, dialled), ConnectStart::in_progress);
     const int client = harness.keep_socket(std::move(dialled));
     harness.run_for(20);
-    const int port = call == Call::connect ? ntohs(harness.endpoint_address.sin_port) : 0;
+    const int port = call == SystemCall::connect ? ntohs(harness.endpoint_address.sin_port) : 0;
     faults::inject({call, error, 1, 0, kMomentMs, port});
     harness.write(client, line_at("h2"));
     comes_up(harness, client);
     if (HasFailure()) {
       return;  // each further one would wait in vain as well
     }
-    EXPECT_GT(faults::hits(), 0);
+    EXPECT_GT(faults::affected_calls(), 0);
   }
 }
 
@@ -192,8 +194,9 @@
     fleet.start(3);
     FlatEvent before;
     before.kind = EventKind::connection_adopted;
-    before.id = "before", before.host = "h1", before.traffic_type = "plain", before.client_key = 5;
-    before.pending = true;
+    before.request_id = "before", before.endpoint = "h1", before.traffic_type = "plain",
+    before.client_key = 5;
+    before.is_pending = true;
     before.deadline = fleet.now + 400000000;
     fleet.send_event(before);
     fleet.attempts["before"].push_back("h1");
@@ -212,7 +215,7 @@
     NodeHarness harness;
     // Danger: every second call, so that the one that is made to turn a client away goes well.
     faults::inject(
-        {Call::accept4, error, 1, 0, kMomentMs, ntohs(harness.node_address.sin_port), 0, false, 0, 2});
+        {SystemCall::accept4, error, 1, 0, kMomentMs, ntohs(harness.node_address.sin_port), 0, false, 0, 2});
     const int client =
         harness.connect_client("OPEN 7c" + std::to_string(error) + " 2e c=plain,t=x,d=2000\r\n");
     comes_up(harness, client);
@@ -224,7 +227,7 @@
   NodeHarness harness;
   harness.node->stop();
   harness.run_for(900);
-  faults::inject({Call::accept4, ENFILE, 1, 0, kMomentMs, ntohs(harness.node_address.sin_port)});
+  faults::inject({SystemCall::accept4, ENFILE, 1, 0, kMomentMs, ntohs(harness.node_address.sin_port)});
   Socket dialled;
   EXPECT_EQ(start_connecting(harness.node_address, 1024, 0, dialled), ConnectStart::in_progress);
   pollfd stands{dialled.descriptor(), POLLOUT, 0};
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -34,11 +34,11 @@
 
 std::unique_ptr<LoadBalancerHarness> node_of(const Case& one, int me, std::uint64_t seed, TimePoint now) {
   auto harness = std::make_unique<LoadBalancerHarness>();
-  harness->settings["nodes"] = static_cast<double>(one.nodes),
-  harness->settings["me"] = static_cast<double>(me);
-  harness->settings["cold_from"] = kFrom, harness->settings["cold_time"] = kColdTime;
-  harness->settings["fall_time"] = kFallTime, harness->settings["fall_multiple"] = kMultiple;
-  harness->settings["probes_allowed"] = 0.0;
+  harness->settings["node_count"] = static_cast<double>(one.nodes),
+  harness->settings["node_index"] = static_cast<double>(me);
+  harness->settings["cold_capacity_share"] = kFrom, harness->settings["warm_up_time"] = kColdTime;
+  harness->settings["overload_window"] = kFallTime, harness->settings["overload_multiple"] = kMultiple;
+  harness->settings["health_checks_allowed"] = 0.0;
   harness->now = now;
   harness->start(kWarm, seed * 1000 + static_cast<std::uint64_t>(me));
   return harness;
@@ -100,7 +100,7 @@
       }
       if (one.crowd && age % (5 * kTick) == 0) {  // a host with connections of this node is late all along
         FlatEvent late;
-        late.kind = EventKind::latency_reported, late.host = "h0", late.figure = 600;
+        late.kind = EventKind::latency_reported, late.endpoint = "h0", late.value = 600;
         harness->send_event(late);
       }
       harness->send_event(FlatEvent{});  // an alarm
--- a/tests/support/flat_conversions.cpp
+++ b/tests/support/flat_conversions.cpp
@@ -9,13 +9,13 @@
 namespace dapplewharf {
 namespace {
 
-double number(const SettingsMap& settings, const std::string& name, double otherwise) {
+double number_or(const SettingsMap& settings, const std::string& name, double fallback) {
   const auto found = settings.find(name);
   const double* value = found == settings.end() ? nullptr : std::get_if<double>(&found->second);
-  return value ? *value : otherwise;
+  return value ? *value : fallback;
 }
 
-double needed(const SettingsMap& settings, const std::string& name) {
+double required_number(const SettingsMap& settings, const std::string& name) {
   const auto found = settings.find(name);
   const double* value = found == settings.end() ? nullptr : std::get_if<double>(&found->second);
   if (!value) {
@@ -24,62 +24,64 @@
   return *value;
 }
 
-std::string text(const SettingsMap& settings, const std::string& name) {
+std::string text_or_empty(const SettingsMap& settings, const std::string& name) {
   const auto found = settings.find(name);
   const std::string* value = found == settings.end() ? nullptr : std::get_if<std::string>(&found->second);
   return value ? *value : std::string();
 }
 
-// The largest (sign 1) or smallest (sign -1) of a figure that each one of a list of settings has.
+// The largest (sign 1) or smallest (sign -1) value of the field `name` among the elements of a list of
+// settings; `fallback` if the list is empty.
 double extreme(const SettingsMap& settings, const std::string& list, const std::string& name, int sign,
-               double otherwise) {
+               double fallback) {
   const std::string first = list + "0" + name;
   if (!settings.count(first)) {
-    return otherwise;
+    return fallback;
   }
-  double found = number(settings, first, otherwise);
+  double result = number_or(settings, first, fallback);
   for (int i = 1; settings.count(list + std::to_string(i) + name); ++i) {
-    found = sign * std::max(sign * found, sign * number(settings, list + std::to_string(i) + name, found));
+    result =
+        sign * std::max(sign * result, sign * number_or(settings, list + std::to_string(i) + name, result));
   }
-  return found;
+  return result;
 }
 
-RequestAttributes request_of(const FlatEvent& event) {
-  RequestAttributes to;
-  to.id = event.id;
-  to.traffic_type = event.traffic_type;
-  to.tenant = event.tenant;
-  to.client_key = event.client_key;
-  to.affinity_group = event.affinity_group;
-  to.deadline = event.deadline;
-  to.is_mid_connection = event.is_mid_connection;
-  to.is_migrated = event.is_migrated;
-  to.is_retry = event.is_retry;
-  return to;
+RequestAttributes request_attributes(const FlatEvent& event) {
+  RequestAttributes attributes;
+  attributes.id = event.request_id;
+  attributes.traffic_type = event.traffic_type;
+  attributes.tenant = event.tenant;
+  attributes.client_key = event.client_key;
+  attributes.affinity_group = event.affinity_group;
+  attributes.deadline = event.deadline;
+  attributes.is_mid_connection = event.is_mid_connection;
+  attributes.is_migrated = event.is_migrated;
+  attributes.is_retry = event.is_retry;
+  return attributes;
 }
 
-std::optional<Duration> time_at(const SettingsMap& from, const std::string& name) {
-  if (!from.count(name)) {
+std::optional<Duration> duration_if_set(const SettingsMap& settings, const std::string& name) {
+  if (!settings.count(name)) {
     return std::nullopt;
   }
-  return static_cast<Duration>(number(from, name, 0));
+  return static_cast<Duration>(number_or(settings, name, 0));
 }
 
-TrafficClass traffic_of(const SettingsMap& from, const std::string& at) {
-  TrafficClass to;
-  to.name = text(from, at + "name");
-  const std::string effect = text(from, at + "effect");
-  const std::string group = text(from, at + "repeat_group");
-  to.repeat_rule.idempotency = effect == "idempotent"     ? Idempotency::idempotent
-                               : effect == "deduplicated" ? Idempotency::deduplicated
-                                                          : Idempotency::non_idempotent;
-  to.repeat_rule.scope = group == "all"    ? DeduplicationScope::all
-                         : group == "zone" ? DeduplicationScope::zone
-                                           : DeduplicationScope::cell;
-  to.repeat_rule.window = time_at(from, at + "repeat_window").value_or(0);
-  to.setup_latency_objective = time_at(from, at + "latency_goal");
-  to.deadline = time_at(from, at + "expiry");
-  return to;
+TrafficClass traffic_class(const SettingsMap& settings, const std::string& prefix) {
+  TrafficClass traffic;
+  traffic.name = text_or_empty(settings, prefix + "name");
+  const std::string idempotency = text_or_empty(settings, prefix + "idempotency");
+  const std::string scope = text_or_empty(settings, prefix + "deduplication_scope");
+  traffic.repeat_rule.idempotency = idempotency == "idempotent"     ? Idempotency::idempotent
+                                    : idempotency == "deduplicated" ? Idempotency::deduplicated
+                                                                    : Idempotency::non_idempotent;
+  traffic.repeat_rule.scope = scope == "all"    ? DeduplicationScope::all
+                              : scope == "zone" ? DeduplicationScope::zone
+                                                : DeduplicationScope::cell;
+  traffic.repeat_rule.window = duration_if_set(settings, prefix + "deduplication_window").value_or(0);
+  traffic.setup_latency_objective = duration_if_set(settings, prefix + "setup_latency_objective");
+  traffic.deadline = duration_if_set(settings, prefix + "deadline");
+  return traffic;
 }
 
 }  // namespace
@@ -87,113 +89,122 @@
 PolicyEvent from_flat(const FlatEvent& event) {
   switch (event.kind) {
     case EventKind::endpoints_cached:
-      return EndpointsCached{event.entries};
+      return EndpointsCached{event.endpoints};
     case EventKind::endpoints_snapshot:
-      return EndpointsSnapshot{event.entries};
+      return EndpointsSnapshot{event.endpoints};
     case EventKind::endpoints_update:
-      return EndpointsUpdate{event.entries};
+      return EndpointsUpdate{event.endpoints};
     case EventKind::endpoint_watch_failed:
       return EndpointWatchFailed{};
     case EventKind::shutdown_started:
       return ShutdownStarted{event.deadline};
     case EventKind::request_received:
-      return RequestReceived{request_of(event)};
+      return RequestReceived{request_attributes(event)};
     case EventKind::connection_adopted:
-      return ConnectionAdopted{request_of(event), event.host, event.pending};
+      return ConnectionAdopted{request_attributes(event), event.endpoint, event.is_pending};
     case EventKind::attempt_established:
-      return AttemptEstablished{event.id, event.host, event.number, event.duration};
+      return AttemptEstablished{event.request_id, event.endpoint, event.attempt_or_timer, event.duration};
     case EventKind::load_reported:
-      return LoadReported{event.id, event.host, event.figure};
+      return LoadReported{event.request_id, event.endpoint, event.value};
     case EventKind::latency_reported:
-      return LatencyReported{event.id, event.host, event.figure};
+      return LatencyReported{event.request_id, event.endpoint, event.value};
     case EventKind::request_stalled:
-      return RequestStalled{event.id, event.host, static_cast<Duration>(event.figure)};
+      return RequestStalled{event.request_id, event.endpoint, static_cast<Duration>(event.value)};
     case EventKind::attempt_ended:
-      return AttemptEnded{event.id, event.host, event.number, event.outcome, event.duration, event.final};
+      return AttemptEnded{event.request_id, event.endpoint, event.attempt_or_timer,
+                          event.outcome,    event.duration, event.is_final};
     case EventKind::client_disconnected:
-      return ClientDisconnected{event.id};
+      return ClientDisconnected{event.request_id};
     case EventKind::timer_fired:
-      return TimerFired{event.number};
+      return TimerFired{event.attempt_or_timer};
     case EventKind::health_check_ended:
-      return HealthCheckEnded{event.host, event.outcome, event.duration, event.report};
+      return HealthCheckEnded{event.endpoint, event.outcome, event.duration, event.health_report};
     case EventKind::gossip_received:
       break;
   }
-  return GossipReceived{event.host, event.figure < 0 ? std::nullopt : std::optional(event.figure)};
+  return GossipReceived{event.endpoint, event.value < 0 ? std::nullopt : std::optional(event.value)};
 }
 
-FlatAction to_flat(const PolicyAction& action) {
+FlatAction to_flat(const PolicyAction& policy_action) {
   return std::visit(
       Overloaded{
-          [](const StartAttempt& a) {
-            return FlatAction{ActionKind::start_attempt, a.request_id, a.endpoint, "", 0, a.timeout};
+          [](const StartAttempt& action) {
+            return FlatAction{
+                ActionKind::start_attempt, action.request_id, action.endpoint, "", 0, action.timeout};
           },
-          [](const CancelAttempt& a) {
-            return FlatAction{ActionKind::cancel_attempt, a.request_id, "", "", a.attempt, 0};
+          [](const CancelAttempt& action) {
+            return FlatAction{ActionKind::cancel_attempt, action.request_id, "", "", action.attempt, 0};
           },
-          [](const RejectRequest& a) {
-            return FlatAction{ActionKind::reject_request, a.request_id, "", "", 0, a.retry_after};
+          [](const RejectRequest& action) {
+            return FlatAction{ActionKind::reject_request, action.request_id, "", "", 0, action.retry_after};
           },
-          [](const FailRequest& a) {
-            return FlatAction{ActionKind::fail_request, a.request_id, "", "", 0, 0};
+          [](const FailRequest& action) {
+            return FlatAction{ActionKind::fail_request, action.request_id, "", "", 0, 0};
           },
-          [](const MigrateConnection& a) {
-            return FlatAction{ActionKind::migrate_connection, a.request_id, a.endpoint, "", 0, 0};
+          [](const MigrateConnection& action) {
+            return FlatAction{ActionKind::migrate_connection, action.request_id, action.endpoint, "", 0, 0};
+          },
+          [](const CheckHealth& action) {
+            return FlatAction{ActionKind::check_health, "", action.endpoint, "", 0, 0};
+          },
+          [](const SetTimer& action) {
+            return FlatAction{ActionKind::set_timer, "", "", "", action.timer, action.delay};
           },
-          [](const CheckHealth& a) { return FlatAction{ActionKind::check_health, "", a.endpoint, "", 0, 0}; },
-          [](const SetTimer& a) { return FlatAction{ActionKind::set_timer, "", "", "", a.timer, a.delay}; },
           [](const WatchEndpoints&) { return FlatAction{ActionKind::watch_endpoints, "", "", "", 0, 0}; },
           [](const FetchEndpoints&) { return FlatAction{ActionKind::fetch_endpoints, "", "", "", 0, 0}; },
-          [](const LogMessage& a) { return FlatAction{ActionKind::log_message, "", "", a.text, 0, 0}; }},
-      action);
+          [](const LogMessage& action) {
+            return FlatAction{ActionKind::log_message, "", "", action.text, 0, 0};
+          }},
+      policy_action);
 }
 
-Settings settings_from_map(const SettingsMap& from) {
-  const auto duration_of = [&](const char* name) { return time_at(from, name).value_or(0); };
-  Settings to;
-  to.node_count = number(from, "nodes", 1);
-  to.node_index = number(from, "me", 0);
-  to.zone = text(from, "zone");
-  to.cold_capacity_share = needed(from, "cold_from");
-  to.warm_up_time = static_cast<Duration>(needed(from, "cold_time"));
-  to.overload_window = static_cast<Duration>(needed(from, "fall_time"));
-  to.overload_multiple = needed(from, "fall_multiple");
-  to.drain_grace = static_cast<Duration>(needed(from, "drain_grace"));
-  to.notified_within = duration_of("ask_within");
-  to.polls_endpoints = text(from, "discovery") == "on_request";
-  to.only_drains_bind = number(from, "drain_binds_alone", 0) != 0;
-  to.weights_follow_load = text(from, "weights") == "live";
-  for (int i = 0; from.count("traffic." + std::to_string(i) + ".name"); ++i) {
-    to.traffic.push_back(traffic_of(from, "traffic." + std::to_string(i) + "."));
+Settings settings_from_map(const SettingsMap& map) {
+  const auto duration = [&](const char* name) { return duration_if_set(map, name).value_or(0); };
+  Settings settings;
+  settings.node_count = number_or(map, "node_count", 1);
+  settings.node_index = number_or(map, "node_index", 0);
+  settings.zone = text_or_empty(map, "zone");
+  settings.cold_capacity_share = required_number(map, "cold_capacity_share");
+  settings.warm_up_time = static_cast<Duration>(required_number(map, "warm_up_time"));
+  settings.overload_window = static_cast<Duration>(required_number(map, "overload_window"));
+  settings.overload_multiple = required_number(map, "overload_multiple");
+  settings.drain_grace = static_cast<Duration>(required_number(map, "drain_grace"));
+  settings.notified_within = duration("notified_within");
+  settings.polls_endpoints = text_or_empty(map, "discovery") == "on_request";
+  settings.only_drains_bind = number_or(map, "only_drains_bind", 0) != 0;
+  settings.weights_follow_load = number_or(map, "weights_follow_load", 0) != 0;
+  for (int i = 0; map.count("traffic." + std::to_string(i) + ".name"); ++i) {
+    settings.traffic.push_back(traffic_class(map, "traffic." + std::to_string(i) + "."));
   }
   for (int i = 0;; ++i) {
-    const std::string at = "tenant." + std::to_string(i) + ".";
-    if (!from.count(at + "name") && !from.count(at + "open")) {
+    const std::string prefix = "tenant." + std::to_string(i) + ".";
+    if (!map.count(prefix + "name") && !map.count(prefix + "connection_quota")) {
       break;
     }
-    Tenant& tenant = to.tenants.emplace_back();
-    tenant.name = text(from, at + "name");
-    if (from.count(at + "open")) {
-      tenant.connections = number(from, at + "open", 0);
+    Tenant& tenant = settings.tenants.emplace_back();
+    tenant.name = text_or_empty(map, prefix + "name");
+    if (map.count(prefix + "connection_quota")) {
+      tenant.connections = number_or(map, prefix + "connection_quota", 0);
     }
   }
-  to.max_attempts = number(from, "max_tries", 1);
-  if (const Duration window = duration_of("further_tries_span"); window > 0) {
-    to.retry_budget = {number(from, "further_tries_least", 0), number(from, "further_tries_share", 0),
-                       window};
+  settings.max_attempts = number_or(map, "max_attempts", 1);
+  if (const Duration window = duration("retry_budget_window"); window > 0) {
+    settings.retry_budget = {number_or(map, "retry_budget_min_retries", 0),
+                             number_or(map, "retry_budget_retry_ratio", 0), window};
   }
-  to.retry_after_allowed = number(from, "come_back_told", 0) != 0;
-  to.max_retry_after = duration_of("max_come_back");
-  to.connect_timeout = time_at(from, "connect_time").value_or(kSecond);
-  to.shortest_message_objective = static_cast<Duration>(extreme(from, "message_goal.", "", -1, 0));
-  to.health_checks_allowed = number(from, "probes_allowed", 0) != 0;
-  if (const double index = number(from, "report.load", -1); index >= 0) {
-    to.load_report_index = static_cast<std::size_t>(index);
+  settings.retry_after_allowed = number_or(map, "retry_after_allowed", 0) != 0;
+  settings.max_retry_after = duration("max_retry_after");
+  settings.connect_timeout = duration_if_set(map, "connect_timeout").value_or(kSecond);
+  settings.shortest_message_objective =
+      static_cast<Duration>(extreme(map, "message_latency_objective.", "", -1, 0));
+  settings.health_checks_allowed = number_or(map, "health_checks_allowed", 0) != 0;
+  if (const double index = number_or(map, "load_report_index", -1); index >= 0) {
+    settings.load_report_index = static_cast<std::size_t>(index);
   }
-  to.cross_zone_price = number(from, "price_crossing", 0);
-  to.health_check_price = number(from, "price_probe", 0);
-  to.migration_price = number(from, "price_move", 0);
-  return to;
+  settings.cross_zone_price = number_or(map, "cross_zone_price", 0);
+  settings.health_check_price = number_or(map, "health_check_price", 0);
+  settings.migration_price = number_or(map, "migration_price", 0);
+  return settings;
 }
 
 }  // namespace dapplewharf
--- a/tests/support/flat_conversions.h
+++ b/tests/support/flat_conversions.h
@@ -1,5 +1,5 @@
-// Conversions between the flat events, actions and settings that scripted tests are written in
-// (support/flat_events.h) and the typed ones of the policy.
+// Conversions between the flat events, actions and settings of scripted tests (support/flat_events.h) and the
+// typed ones of the policy.
 #pragma once
 #include "policy/actions.h"
 #include "policy/events.h"
@@ -10,6 +10,7 @@
 
 PolicyEvent from_flat(const FlatEvent& event);
 FlatAction to_flat(const PolicyAction& action);
-Settings settings_from_map(const SettingsMap& from);
+/// @throws std::runtime_error if a setting of slow start or the drain grace period is missing.
+Settings settings_from_map(const SettingsMap& map);
 
 }  // namespace dapplewharf
--- a/tests/support/flat_events.h
+++ b/tests/support/flat_events.h
@@ -1,5 +1,6 @@
-// Flat events, actions and settings in which scripted tests are written: one struct for all kinds, settings
-// by name. Converted to the typed ones of the policy by support/flat_conversions.h.
+// Flat events, actions and settings in which scripted tests are written: one struct for events of all kinds,
+// one for actions of all kinds, and settings by name. support/flat_conversions.h converts them to and from
+// the policy's typed ones. Times are in ticks of 0.1 ms.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -13,57 +14,61 @@
 
 namespace dapplewharf {
 
-// The settings: names to values. Lists are spelt "traffic.0.name", "traffic.1.name" and so on. Times are
-// tenths.
+/// The settings by name. The names are those of the fields of Settings; elements of lists are named
+/// "traffic.0.name", "traffic.1.name" and so on. Times are in ticks of 0.1 ms, booleans are 0 or 1.
 using SettingsMap = std::map<std::string, std::variant<double, std::string>>;
 
+/// The kinds of PolicyEvent, in the order of policy/events.h.
 enum class EventKind {
-  endpoints_cached,       // the list as this node last held it
-  endpoints_snapshot,     // the complete list
+  endpoints_cached,       // the endpoint list as this node last held it
+  endpoints_snapshot,     // the complete endpoint list
   endpoints_update,       // the entries that changed
-  endpoint_watch_failed,  // an inquiry failed or the subscription broke
-  shutdown_started,       // this node is to end soon; what it holds has to go elsewhere
+  endpoint_watch_failed,  // a call to the list service failed or its watch broke
+  shutdown_started,       // this node shuts down soon; its connections have to migrate
   request_received,       // a client wants a connection
-  connection_adopted,     // a connection that was open when the node started
-  attempt_established,    // a setup try stands
+  connection_adopted,     // a connection that was open before this node started
+  attempt_established,    // an attempt has become an established connection
   load_reported,          // a connection's load has changed
-  latency_reported,       // messages at a host take this long
-  request_stalled,        // a client's line on a standing connection has been unanswered for this long
-  attempt_ended,          // a setup try, or the connection it became, has ended
-  client_disconnected,    // the client went away
+  latency_reported,       // how long messages take at an endpoint
+  request_stalled,        // a client's message on an established connection has been unanswered for a while
+  attempt_ended,          // an attempt, or the connection that it became, has ended
+  client_disconnected,    // the client closed its connection or cancelled its request
   timer_fired,
   health_check_ended,
   gossip_received
 };
 
+/// One event of any kind; fields that its kind doesn't have are ignored.
 struct FlatEvent {
   EventKind kind = EventKind::timer_fired;
-  std::string id;                                          // attachment
-  std::string host;                                        // host
-  std::string traffic_type, tenant;                        // of an attachment
-  std::optional<std::int64_t> client_key, affinity_group;  // the client key; the group that shares work
-  TimePoint deadline = 0;  // when the client gives up; of stopping: when all are answered
+  std::string request_id;
+  std::string endpoint;
+  std::string traffic_type, tenant;
+  std::optional<std::int64_t> client_key, affinity_group;
+  TimePoint deadline = 0;  // request_received: when the client gives up; shutdown_started: `answer_by`
   bool is_mid_connection = false, is_migrated = false, is_retry = false;
-  bool pending = false;  // of one handed over: its host has not brought it up again yet
-  int number = 0;        // of the setup try, or of the alarm
+  bool is_pending = false;   // connection_adopted: the endpoint has not confirmed it yet
+  int attempt_or_timer = 0;  // timer_fired: the timer; otherwise the attempt, from 0
   Outcome outcome = Outcome::succeeded;
   Duration duration = 0;
-  bool final = false;
-  // The load in microseconds of work a second, the delay or wait in tenths, or the connections that all other
-  // nodes hold at the host, below 0 where that is unknown.
-  double figure = 0;
-  std::vector<EndpointEntry> entries;
-  std::vector<double> report;
+  bool is_final = false;
+  // load_reported: microseconds of processor time a second. latency_reported, request_stalled: ticks of 0.1
+  // ms. gossip_received: connections that all other nodes hold at the endpoint, below 0 where that is
+  // unknown.
+  double value = 0;
+  std::vector<EndpointEntry> endpoints;
+  std::vector<double> health_report;
 };
 
+/// The kinds of PolicyAction, each with the fields of FlatAction that it fills.
 enum class ActionKind {
-  start_attempt,       // id, host, time: its time-out
-  cancel_attempt,      // id, number
-  reject_request,      // id, time: when to come back
-  fail_request,        // id
-  migrate_connection,  // id
-  check_health,        // host
-  set_timer,           // number, time: from now
+  start_attempt,       // request_id, endpoint, delay: the attempt's timeout
+  cancel_attempt,      // request_id, attempt_or_timer
+  reject_request,      // request_id, delay: Retry-After
+  fail_request,        // request_id
+  migrate_connection,  // request_id, endpoint
+  check_health,        // endpoint
+  set_timer,           // attempt_or_timer, delay
   watch_endpoints,
   fetch_endpoints,
   log_message  // text
@@ -71,9 +76,9 @@
 
 struct FlatAction {
   ActionKind kind = ActionKind::log_message;
-  std::string id, host, text;
-  int number = 0;
-  Duration time = 0;
+  std::string request_id, endpoint, text;
+  int attempt_or_timer = 0;
+  Duration delay = 0;
 };
 
 }  // namespace dapplewharf
