--- a/src/emulator/live/endpoint_connections.cpp
+++ b/src/emulator/live/endpoint_connections.cpp
@@ -16,17 +16,17 @@
 
 using Phase = EndpointConnection::Phase;
 
-constexpr std::size_t kMostBuffered = 64 * 1024;  // bytes held for a peer that does not read
-constexpr std::size_t kReadSize = 16 * 1024;      // bytes
-constexpr double kMicroseconds = 1e6;             // in a second
+constexpr std::size_t kMaxBufferedBytes = 64 * 1024;  // for a peer that does not read
+constexpr std::size_t kReadBytes = 16 * 1024;
+constexpr double kMicrosecondsPerSecond = 1e6;
 
-// OPEN, a request id and a client key, with blanks between.
+// A request line: OPEN, a request id and a client key, separated by blanks.
 constexpr std::size_t kRequestIdAt = 5;
 constexpr std::size_t kIdLength = 16;
 constexpr std::size_t kClientKeyAt = kRequestIdAt + kIdLength + 1;
 constexpr std::size_t kShortestRequest = kClientKeyAt + kIdLength;
 
-// Streams of draws, each by what it belongs to.
+// Salts that separate the random draws for different purposes.
 constexpr std::uint64_t kMessageDraw = 3;
 constexpr std::uint64_t kSetupWorkDraw = 5;
 constexpr std::uint64_t kHealthCheckDraw = 7;
@@ -62,7 +62,7 @@
   update_interest(handle, connection);
 }
 
-// Reads all that is there, so that an end is seen before what came ahead of it is begun.
+// Reads all available bytes before handling a line, so that no request is begun whose connection has ended.
 void EndpointConnections::receive(Handle handle) {
   EndpointConnection* connection = rig_.connections.find(handle);
   if (!connection || !reads(*connection)) {
@@ -70,14 +70,14 @@
   }
   for (;;) {
     bool ended = false;
-    const auto received = connection->socket.receive(connection->received, kReadSize, ended);
+    const auto received = connection->socket.receive(connection->received, kReadBytes, ended);
     if (!received || ended) {
       return remove(handle);
     }
     if (*received == 0) {
       break;
     }
-    if (connection->received.size() > kMostBuffered) {
+    if (connection->received.size() > kMaxBufferedBytes) {
       return remove(handle);
     }
   }
@@ -95,7 +95,7 @@
 
 void EndpointConnections::handle_line(Handle handle, EndpointConnection& connection,
                                       const std::string& line) {
-  EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   endpoint.model.advance(rig_.process.now());
   if (connection.phase == Phase::established) {
     const bool crosses = rig_.crosses_zones(connection.endpoint, connection.node);
@@ -126,7 +126,8 @@
     connection.session = known->second;
     return true;
   }
-  const bool accepts_unknown_clients = rig_.process.addresses().anybody && !rig_.plan.sessions.empty();
+  const bool accepts_unknown_clients =
+      rig_.process.addresses().accept_unknown_clients && !rig_.plan.sessions.empty();
   if (!accepts_unknown_clients) {
     return false;
   }
@@ -139,18 +140,19 @@
   connection.phase = Phase::opening;
   record_earlier_end(connection.request_id);
   latest_attempts_[connection.request_id] = handle;
-  rig_.process.record(Seen::try_came, connection.request_id, connection.node, connection.endpoint);
+  rig_.process.record(RecordKind::attempt_received, connection.request_id, connection.node,
+                      connection.endpoint);
   const bool crosses = rig_.crosses_zones(connection.endpoint, connection.node);
-  const Duration way = crosses ? from_milliseconds(3 * rig_.scenario.cross_ms) : 0;
-  if (way > 0) {
-    run_later(handle, way, [this, handle] { admit_setup(handle); });
+  const Duration transit_time = crosses ? from_milliseconds(3 * rig_.scenario.cross_ms) : 0;
+  if (transit_time > 0) {
+    run_later(handle, transit_time, [this, handle] { admit_setup(handle); });
   } else {
     admit_setup(handle);
   }
 }
 
-// An earlier attempt of the request that its node has ended would still count as out where its endpoint does
-// not read or has not read that end yet.
+// Records the end of an earlier attempt of the request that its node has closed. Without it the attempt would
+// count as in progress while its endpoint does not read, or has not read the end yet.
 void EndpointConnections::record_earlier_end(const std::string& request_id) {
   const auto found = latest_attempts_.find(request_id);
   EndpointConnection* earlier =
@@ -169,14 +171,14 @@
 
 void EndpointConnections::admit_setup(Handle handle) {
   EndpointConnection& connection = *rig_.connections.find(handle);
-  EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   endpoint.model.advance(rig_.process.now());
   if (refuse_setup(handle, connection)) {
     return;
   }
   const double push_ratio = endpoint.model.pushed();
   if (push_ratio > 0) {
-    rig_.process.record(Seen::pushed, "", connection.endpoint, std::lround(push_ratio * 1000));
+    rig_.process.record(RecordKind::cold_load, "", connection.endpoint, std::lround(push_ratio * 1000));
   }
   if (push_ratio > 1) {
     return parts_.faults.fall_over(connection.endpoint);
@@ -193,13 +195,13 @@
 }
 
 bool EndpointConnections::refuse_setup(Handle handle, EndpointConnection& connection) {
-  const EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   if (endpoint.draining || endpoint.model.full()) {
     record_attempt_end(connection, false);
     send_and_close(handle, "BUSY\r\n");
     return true;
   }
-  rig_.process.record(Seen::try_ran, connection.request_id, connection.endpoint);
+  rig_.process.record(RecordKind::attempt_executed, connection.request_id, connection.endpoint);
   connection.may_have_run = true;
   const auto endpoint_draw = static_cast<std::uint64_t>(connection.endpoint);
   if (chance_of(connection.request_id, endpoint_draw) < endpoint.failing_share) {
@@ -217,8 +219,8 @@
 }
 
 void EndpointConnections::answer_health_check(Handle handle, const EndpointConnection& connection) {
-  const EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
-  rig_.process.record(Seen::probe, "", connection.endpoint);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
+  rig_.process.record(RecordKind::health_check, "", connection.endpoint);
   if (chance_of(std::to_string(++health_checks_), kHealthCheckDraw) < endpoint.failing_share) {
     return send(handle, "ERR\r\n");
   }
@@ -229,15 +231,15 @@
 }
 
 void EndpointConnections::schedule_setup_work(int index) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   if (endpoint.setups.empty() || endpoint.condition != EndpointCondition::up) {
     return;
   }
-  rig_.process.at(endpoint.setup_due, endpoint.model.next(), [this, index] { do_setup_work(index); });
+  rig_.process.schedule(endpoint.setup_due, endpoint.model.next(), [this, index] { do_setup_work(index); });
 }
 
 void EndpointConnections::do_setup_work(int index) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   if (endpoint.condition != EndpointCondition::up) {
     return;
   }
@@ -257,7 +259,7 @@
 }
 
 void EndpointConnections::establish(Handle handle, EndpointConnection& connection) {
-  EndpointStandIn& endpoint = rig_.endpoint(connection.endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection.endpoint);
   connection.setup.reset();
   connection.phase = Phase::established;
   record_attempt_end(connection, true);
@@ -283,8 +285,8 @@
 }
 
 void EndpointConnections::schedule_load_change(Handle handle, EndpointConnection& connection) {
-  rig_.process.at(connection.load_change, rig_.process.now() + from_seconds(rig_.scenario.change_s),
-                  [this, handle] { change_load(handle); });
+  rig_.process.schedule(connection.load_change, rig_.process.now() + from_seconds(rig_.scenario.change_s),
+                        [this, handle] { change_load(handle); });
 }
 
 void EndpointConnections::change_load(Handle handle) {
@@ -292,17 +294,17 @@
   if (!connection || connection->phase != Phase::established) {
     return;
   }
-  EndpointStandIn& endpoint = rig_.endpoint(connection->endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection->endpoint);
   const double load = current_load(*connection);
   endpoint.model.advance(rig_.process.now());
   endpoint.model.load_changes(load - connection->load);
   connection->load = load;
   schedule_load_change(handle, *connection);
-  send(handle, fmt::format("LOAD {:.1f}\r\n", load / rig_.scenario.per_core * kMicroseconds));
+  send(handle, fmt::format("LOAD {:.1f}\r\n", load / rig_.scenario.per_core * kMicrosecondsPerSecond));
 }
 
 void EndpointConnections::record_attempt_end(const EndpointConnection& connection, bool may_have_run) {
-  rig_.process.record(Seen::try_over, connection.request_id, connection.endpoint, may_have_run);
+  rig_.process.record(RecordKind::attempt_ended, connection.request_id, connection.endpoint, may_have_run);
 }
 
 bool EndpointConnections::reads(const EndpointConnection& connection) const {
@@ -333,7 +335,7 @@
 
 void EndpointConnections::send(Handle handle, const std::string& line) {
   EndpointConnection* connection = rig_.connections.find(handle);
-  if (!connection || connection->unsent.size() > kMostBuffered) {
+  if (!connection || connection->unsent.size() > kMaxBufferedBytes) {
     return;
   }
   connection->unsent += line;
@@ -383,7 +385,7 @@
   if (!connection) {
     return;
   }
-  EndpointStandIn& endpoint = rig_.endpoint(connection->endpoint);
+  EmulatedEndpoint& endpoint = rig_.endpoint(connection->endpoint);
   if (connection->incarnation == endpoint.incarnation) {
     endpoint.model.advance(rig_.process.now());
     --endpoint.open_connections;
@@ -412,14 +414,14 @@
   for (const Handle handle : rig_.connections_to(endpoint)) {
     EndpointConnection& connection = *rig_.connections.find(handle);
     if (!connection.request_id.empty()) {
-      rig_.process.record(Seen::host_ended, connection.request_id, endpoint);
+      rig_.process.record(RecordKind::endpoint_closed_connection, connection.request_id, endpoint);
     }
     reset(handle, connection);
   }
 }
 
 void EndpointConnections::send_away(int index, double share) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   const auto count =
       static_cast<std::ptrdiff_t>(std::ceil(static_cast<double>(endpoint.established.size()) * share));
   const std::vector<Handle> leaving(endpoint.established.begin(), endpoint.established.begin() + count);
@@ -428,23 +430,23 @@
     endpoint.model.advance(rig_.process.now());
     endpoint.model.leave(connection.load, rig_.session(connection).group);
     std::erase(endpoint.established, handle);
-    rig_.process.record(Seen::host_ended, connection.request_id, index);
+    rig_.process.record(RecordKind::endpoint_closed_connection, connection.request_id, index);
     send_and_close(handle, "MOVE\r\n");
   }
 }
 
-// Does nothing if the connection has gone by then or its endpoint has restarted.
+// Does nothing if the connection has been closed or its endpoint has restarted by then.
 void EndpointConnections::run_later(Handle handle, Duration delay, std::function<void()> action) {
   const EndpointConnection* connection = rig_.connections.find(handle);
   const int incarnation = connection->incarnation;
   const int endpoint = connection->endpoint;
-  rig_.process.once(rig_.process.now() + delay,
-                    [this, handle, incarnation, endpoint, action = std::move(action)] {
-                      const bool restarted = rig_.endpoint(endpoint).incarnation != incarnation;
-                      if (rig_.connections.find(handle) && !restarted) {
-                        action();
-                      }
-                    });
+  rig_.process.schedule_once(rig_.process.now() + delay,
+                             [this, handle, incarnation, endpoint, action = std::move(action)] {
+                               const bool restarted = rig_.endpoint(endpoint).incarnation != incarnation;
+                               if (rig_.connections.find(handle) && !restarted) {
+                                 action();
+                               }
+                             });
 }
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/live/endpoint_faults.cpp
+++ b/src/emulator/live/endpoint_faults.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Duration kDrainStepInterval = 500 * kMs;
-constexpr double kDrainStepShare = 0.2;  // of the connections that are left
-constexpr double kNeverBackS = 1e5;      // longer than any run
+constexpr double kDrainStepShare = 0.2;  // of the remaining connections
+constexpr double kLongerThanAnyRunS = 1e5;
 
 }  // namespace
 
@@ -20,14 +20,15 @@
   for (int index = 0; index < rig_.endpoint_count(); ++index) {
     const double joins_s = rig_.planned(index).joins_s;
     if (joins_s > 0) {
-      rig_.process.once(from_seconds(joins_s),
-                        [this, index] { restart(index, rig_.endpoint(index).incarnation); });
+      rig_.process.schedule_once(from_seconds(joins_s),
+                                 [this, index] { restart(index, rig_.endpoint(index).incarnation); });
     }
   }
   for (std::size_t index = 0; index < rig_.plan.faults.size(); ++index) {
     const Fault& fault = rig_.plan.faults[index].fault;
-    rig_.process.once(from_seconds(fault.at_s), [this, index] { apply(index, Change::begins); });
-    rig_.process.once(from_seconds(fault.at_s + fault.for_s), [this, index] { apply(index, Change::ends); });
+    rig_.process.schedule_once(from_seconds(fault.at_s), [this, index] { apply(index, Change::begins); });
+    rig_.process.schedule_once(from_seconds(fault.at_s + fault.for_s),
+                               [this, index] { apply(index, Change::ends); });
   }
 }
 
@@ -46,7 +47,7 @@
   const PlannedFault& planned = rig_.plan.faults[index];
   const Fault& fault = planned.fault;
   const int endpoint_index = planned.hosts[position];
-  EndpointStandIn& endpoint = rig_.endpoint(endpoint_index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(endpoint_index);
   const bool begins = change == Change::begins;
   endpoint.model.advance(rig_.process.now());
   switch (fault.kind) {
@@ -96,8 +97,8 @@
   const int endpoint = planned.hosts[position];
   if (fault.kind == FaultKind::drain) {
     const double delay_s = fault.every_s * static_cast<double>(position);
-    rig_.process.once(rig_.process.now() + from_seconds(delay_s),
-                      [this, index, endpoint] { begin_drain(index, endpoint); });
+    rig_.process.schedule_once(rig_.process.now() + from_seconds(delay_s),
+                               [this, index, endpoint] { begin_drain(index, endpoint); });
     return;
   }
   const bool vanishes = fault.kind == FaultKind::vanish;
@@ -151,7 +152,7 @@
 void EndpointFaults::set_condition(int index, EndpointCondition condition) {
   rig_.endpoint(index).condition = condition;
   const bool up = condition == EndpointCondition::up;
-  rig_.process.record(Seen::host_is, "", index, up);
+  rig_.process.record(RecordKind::endpoint_state, "", index, up);
   if (condition != EndpointCondition::down) {
     parts_.listeners.update_reachability(index);
   }
@@ -166,7 +167,7 @@
   const Fault& fault = planned.fault;
   const bool over = rig_.process.now() >= from_seconds(fault.at_s + fault.for_s);
   for (const int number : planned.hosts) {
-    EndpointStandIn& endpoint = rig_.endpoint(number);
+    EmulatedEndpoint& endpoint = rig_.endpoint(number);
     endpoint.model.advance(rig_.process.now());
     endpoint.model.taken = active && !over ? fault.size : 0;
     parts_.connections.schedule_setup_work(number);
@@ -175,17 +176,17 @@
     return;
   }
   const double span_s = fault.every_s > 0 ? fault.every_s : fault.for_s;
-  rig_.process.once(rig_.process.now() + from_seconds(span_s),
-                    [this, index, active] { set_neighbour_load(index, !active); });
+  rig_.process.schedule_once(rig_.process.now() + from_seconds(span_s),
+                             [this, index, active] { set_neighbour_load(index, !active); });
 }
 
 void EndpointFaults::fall_over(int index) {
   rig_.endpoint(index).overwhelmed = true;
-  take_away(index, EndpointCondition::down, kNeverBackS, rig_.scenario.list_late_s);
+  take_away(index, EndpointCondition::down, kLongerThanAnyRunS, rig_.scenario.list_late_s);
 }
 
 void EndpointFaults::take_away(int index, EndpointCondition how, double away_s, double noticed_after_s) {
-  const EndpointStandIn& endpoint = rig_.endpoint(index);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(index);
   if (endpoint.condition != EndpointCondition::up && endpoint.condition != EndpointCondition::silent) {
     return;
   }
@@ -197,12 +198,13 @@
     parts_.listeners.close(index);
     parts_.connections.reset_all(index);
   }
-  rig_.process.once(rig_.process.now() + from_seconds(away_s),
-                    [this, index, incarnation = endpoint.incarnation] { restart(index, incarnation); });
+  rig_.process.schedule_once(
+      rig_.process.now() + from_seconds(away_s),
+      [this, index, incarnation = endpoint.incarnation] { restart(index, incarnation); });
 }
 
 void EndpointFaults::restart(int index, int incarnation) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   if (endpoint.incarnation != incarnation || endpoint.overwhelmed) {
     return;
   }
@@ -217,12 +219,12 @@
   endpoint.started_unix_ms = static_cast<double>(EventLoop::unix_now()) / kMs;
   endpoint.condition = EndpointCondition::up;
   parts_.listeners.open(index);
-  rig_.process.record(Seen::host_is, "", index, 1);
+  rig_.process.record(RecordKind::endpoint_state, "", index, 1);
   parts_.list_server.publish_later(index, EndpointState::healthy, rig_.scenario.list_late_s);
 }
 
 void EndpointFaults::begin_drain(std::size_t fault_index, int index) {
-  EndpointStandIn& endpoint = rig_.endpoint(index);
+  EmulatedEndpoint& endpoint = rig_.endpoint(index);
   const Fault& fault = rig_.plan.faults[fault_index].fault;
   if (endpoint.condition != EndpointCondition::up) {
     return;
@@ -232,22 +234,22 @@
   parts_.list_server.publish_later(index, EndpointState::draining, rig_.scenario.list_late_s);
   const int incarnation = endpoint.incarnation;
   if (endpoint.drain_pace != "none") {
-    rig_.process.once(rig_.process.now() + from_seconds(rig_.scenario.list_late_s),
-                      [this, index, incarnation] { drain_step(index, incarnation); });
+    rig_.process.schedule_once(rig_.process.now() + from_seconds(rig_.scenario.list_late_s),
+                               [this, index, incarnation] { drain_step(index, incarnation); });
   }
-  rig_.process.once(rig_.process.now() + from_seconds(drain_lasts_s(fault)),
-                    [this, index, incarnation] { restart(index, incarnation); });
+  rig_.process.schedule_once(rig_.process.now() + from_seconds(drain_lasts_s(fault)),
+                             [this, index, incarnation] { restart(index, incarnation); });
 }
 
 void EndpointFaults::drain_step(int index, int incarnation) {
-  const EndpointStandIn& endpoint = rig_.endpoint(index);
+  const EmulatedEndpoint& endpoint = rig_.endpoint(index);
   const bool drains = endpoint.draining && endpoint.condition == EndpointCondition::up;
   if (endpoint.incarnation != incarnation || !drains || endpoint.established.empty()) {
     return;
   }
   parts_.connections.send_away(index, endpoint.drain_pace == "at_once" ? 1 : kDrainStepShare);
-  rig_.process.once(rig_.process.now() + kDrainStepInterval,
-                    [this, index, incarnation] { drain_step(index, incarnation); });
+  rig_.process.schedule_once(rig_.process.now() + kDrainStepInterval,
+                             [this, index, incarnation] { drain_step(index, incarnation); });
 }
 
 }  // namespace dapplewharf::emulator
