--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -94,21 +94,21 @@
 }
 
 TEST(EndpointSelection, NodesAgreeAndARemovalMovesOnlyKeysOfTheRemovedEndpoint) {
-  LoadBalancerHarness node;
+  LoadBalancerHarness first_node;
   LoadBalancerHarness second_node;
-  node.start(5, 1);
+  first_node.start(5, 1);
   second_node.start(5, 2);
   std::map<int, std::string> endpoint_by_key;
-  for (int i = 0; i < 30; ++i, node.now += 10000, second_node.now += 10000) {
-    endpoint_by_key[i] = node.send_request("a" + std::to_string(i), i);
-    node.end_attempt("a" + std::to_string(i), Outcome::succeeded, true);
+  for (int i = 0; i < 30; ++i, first_node.now += 10000, second_node.now += 10000) {
+    endpoint_by_key[i] = first_node.send_request("a" + std::to_string(i), i);
+    first_node.end_attempt("a" + std::to_string(i), Outcome::succeeded, true);
     EXPECT_EQ(endpoint_by_key[i], second_node.send_request("b" + std::to_string(i), i));
     second_node.end_attempt("b" + std::to_string(i), Outcome::succeeded, true);
   }
-  node.update_endpoint(LoadBalancerHarness::endpoint_entry("h2"), EndpointState::removed);
-  for (int i = 0; i < 30; ++i, node.now += 10000) {
-    const std::string endpoint = node.send_request("c" + std::to_string(i), i);
-    node.end_attempt("c" + std::to_string(i), Outcome::succeeded, true);
+  first_node.update_endpoint(LoadBalancerHarness::endpoint_entry("h2"), EndpointState::removed);
+  for (int i = 0; i < 30; ++i, first_node.now += 10000) {
+    const std::string endpoint = first_node.send_request("c" + std::to_string(i), i);
+    first_node.end_attempt("c" + std::to_string(i), Outcome::succeeded, true);
     if (endpoint_by_key[i] != "h2") {
       EXPECT_EQ(endpoint, endpoint_by_key[i]);
     }
@@ -139,11 +139,11 @@
 TEST(EndpointSelection, EndpointFarOverTheMeanIsSkipped) {
   LoadBalancerHarness harness;
   harness.start(3);
-  std::set<std::string> used;
+  std::set<std::string> used_endpoints;
   for (int i = 0; i < 12; ++i) {
-    used.insert(harness.send_request("a" + std::to_string(i), 5)), harness.now += 10000;
+    used_endpoints.insert(harness.send_request("a" + std::to_string(i), 5)), harness.now += 10000;
   }
-  EXPECT_EQ(used.size(), 3u);
+  EXPECT_EQ(used_endpoints.size(), 3u);
 }
 
 TEST(WeightFreeze, RequestsAreStillPlacedWhenAllEndpointsDegradeAtOnce) {
@@ -157,17 +157,17 @@
 }
 
 TEST(Determinism, SameEventsGiveTheSameActions) {
-  LoadBalancerHarness node;
+  LoadBalancerHarness first_node;
   LoadBalancerHarness second_node;
-  node.start(5);
+  first_node.start(5);
   second_node.start(5);
   for (int i = 0; i < 40; ++i) {
-    EXPECT_EQ(node.send_request("a" + std::to_string(i), i % 7),
+    EXPECT_EQ(first_node.send_request("a" + std::to_string(i), i % 7),
               second_node.send_request("a" + std::to_string(i), i % 7));
-    node.advance_time(1000);
+    first_node.advance_time(1000);
     second_node.advance_time(1000);
   }
-  EXPECT_EQ(node.health_checks, second_node.health_checks);
+  EXPECT_EQ(first_node.health_checks, second_node.health_checks);
 }
 
 TEST(Migration, SlowEndpointShedsItsConnectionsAndGetsNoNewOnes) {
