--- a/tests/policy/endpoint_slow_start_test.cpp
+++ b/tests/policy/endpoint_slow_start_test.cpp
@@ -43,7 +43,7 @@
   int admitted = 0;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 200.0, harness.settings["me"] = static_cast<double>(seed);
+    harness.settings["node_count"] = 200.0, harness.settings["node_index"] = static_cast<double>(seed);
     harness.start(1, seed);
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0", "near", harness.now),
                             EndpointState::healthy);
@@ -58,9 +58,9 @@
   for (int n = 0; n < 200; ++n) {
     for (const bool has_gossip : {true, false}) {
       LoadBalancerHarness harness;
-      harness.settings["nodes"] = 100.0, harness.settings["me"] = static_cast<double>(n % 100);
+      harness.settings["node_count"] = 100.0, harness.settings["node_index"] = static_cast<double>(n % 100);
       harness.settings["tenant.0.name"] = std::string("one");
-      harness.settings["tenant.0.open"] = 40.0;
+      harness.settings["tenant.0.connection_quota"] = 40.0;
       harness.start(1, static_cast<std::uint64_t>(n));
       harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0", "near", harness.now),
                               EndpointState::healthy);
@@ -81,10 +81,10 @@
   int sent = 0;
   for (int n = 0; n < 100; ++n) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 100.0, harness.settings["me"] = static_cast<double>(n);
+    harness.settings["node_count"] = 100.0, harness.settings["node_index"] = static_cast<double>(n);
     harness.settings["tenant.0.name"] = std::string("one");
     // 100 connections per endpoint: at first 2.5 * 0.3 * 100 / 4 = 19 in a window.
-    harness.settings["tenant.0.open"] = 400.0;
+    harness.settings["tenant.0.connection_quota"] = 400.0;
     harness.start(2, static_cast<std::uint64_t>(n));
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("c0", "near", harness.now - 10000),
                             EndpointState::healthy);
@@ -106,8 +106,8 @@
   std::map<double, int> sent_by_load;
   for (const double load : {0.1, 0.9}) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 3.0;
-    harness.settings["report.load"] = 0.0;
+    harness.settings["node_count"] = 3.0;
+    harness.settings["load_report_index"] = 0.0;
     harness.reported_load = load;
     harness.start(4);
     harness.advance_time(100000);
@@ -149,8 +149,8 @@
   int sent = 0;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 200.0, harness.settings["fall_time"] = 10000.0;
-    harness.settings["me"] = static_cast<double>(seed);
+    harness.settings["node_count"] = 200.0, harness.settings["overload_window"] = 10000.0;
+    harness.settings["node_index"] = static_cast<double>(seed);
     harness.start(40, seed);
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0", "near", harness.now - 10000),
                             EndpointState::healthy);
@@ -168,10 +168,10 @@
   std::vector<int> sent_by_step(60);
   for (int n = 0; n < 100; ++n) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 100.0, harness.settings["me"] = static_cast<double>(n);
+    harness.settings["node_count"] = 100.0, harness.settings["node_index"] = static_cast<double>(n);
     harness.settings["tenant.0.name"] = std::string("one");
     // 100 connections per endpoint; 2.5 times that within the warm-up time of 8 s.
-    harness.settings["tenant.0.open"] = 200.0;
+    harness.settings["tenant.0.connection_quota"] = 200.0;
     harness.start(2, static_cast<std::uint64_t>(n));
     harness.send_request("old", n);
     harness.establish("old");
--- a/tests/policy/endpoint_test.cpp
+++ b/tests/policy/endpoint_test.cpp
@@ -20,7 +20,7 @@
   harness.start(2);
   FlatEvent snapshot;
   snapshot.kind = EventKind::endpoints_snapshot;
-  snapshot.entries.push_back(LoadBalancerHarness::endpoint_entry("h1"));
+  snapshot.endpoints.push_back(LoadBalancerHarness::endpoint_entry("h1"));
   harness.send_event(snapshot);
   for (int i = 0; i < 40; ++i, harness.now += 10000) {
     EXPECT_EQ(harness.send_request("a" + std::to_string(i), i), "h1");
@@ -67,39 +67,39 @@
 
 TEST(CheckBeforeAdmission, EndpointNotCheckedRecentlyIsCheckedFirstAndSkippedIfFull) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["node_count"] = 400.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.start(4);
   EXPECT_EQ(harness.send_request("a", 1), "") << "waits for the health check";
   ASSERT_EQ(harness.health_checks.size(), 1u);
   const std::string first_endpoint = harness.health_checks.begin()->first;
   FlatEvent health_check;
   health_check.kind = EventKind::health_check_ended;
-  health_check.host = first_endpoint;
-  health_check.report = {0.9};
+  health_check.endpoint = first_endpoint;
+  health_check.health_report = {0.9};
   harness.send_event(health_check);
   ASSERT_EQ(harness.health_checks.size(), 2u);
   for (const FlatAction& action : harness.last_actions) {
     if (action.kind == ActionKind::check_health) {
-      health_check.host = action.host;
+      health_check.endpoint = action.endpoint;
     }
   }
-  EXPECT_NE(health_check.host, first_endpoint);
-  health_check.report = {0.2};
+  EXPECT_NE(health_check.endpoint, first_endpoint);
+  health_check.health_report = {0.2};
   harness.send_event(health_check);
-  EXPECT_EQ(harness.attempts["a"], std::vector<std::string>{health_check.host});
+  EXPECT_EQ(harness.attempts["a"], std::vector<std::string>{health_check.endpoint});
 }
 
 TEST(CheckBeforeAdmission, RequestWhoseDeadlinePassesDuringTheCheckIsRejected) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["node_count"] = 400.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.start(1);
   harness.send_request("a", 1);
   harness.now += 30000;
   FlatEvent health_check;
   health_check.kind = EventKind::health_check_ended;
-  health_check.host = "h0";
+  health_check.endpoint = "h0";
   harness.send_event(health_check);
   EXPECT_TRUE(harness.has_action(ActionKind::reject_request, "a"));
 }
@@ -108,13 +108,13 @@
 // after the grace period that follows its deadline.
 TEST(CheckBeforeAdmission, RequestCloseToItsDeadlineDoesNotWaitForACheck) {
   LoadBalancerHarness harness;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.start(2);
   harness.send_request("a", 1);
   FlatEvent health_check;
   health_check.kind = EventKind::health_check_ended;
-  health_check.host = harness.health_checks.begin()->first;
-  health_check.report = {0.2};
+  health_check.endpoint = harness.health_checks.begin()->first;
+  health_check.health_report = {0.2};
   harness.send_event(health_check);
   ASSERT_EQ(harness.attempts["a"].size(), 1u);
   harness.now += 30000 - 220;
@@ -126,7 +126,7 @@
 TEST(EndpointRemoval, RemovedEndpointStaysInServiceWhileChecksSucceedIfOnlyDrainsBind) {
   for (const bool only_drains_bind : {true, false}) {
     LoadBalancerHarness harness;
-    harness.settings["drain_binds_alone"] = only_drains_bind ? 1.0 : 0.0;
+    harness.settings["only_drains_bind"] = only_drains_bind ? 1.0 : 0.0;
     harness.start(1);
     harness.send_request("open");
     harness.establish("open");
@@ -143,7 +143,7 @@
 
 TEST(EndpointRemoval, DrainedEndpointStaysOutOfServiceAfterItsRemoval) {
   LoadBalancerHarness harness;
-  harness.settings["drain_binds_alone"] = 1.0;
+  harness.settings["only_drains_bind"] = 1.0;
   harness.start(1);
   harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::draining);
   harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::removed);
@@ -155,8 +155,8 @@
   std::map<double, int> checks_by_price;
   for (const double price : {0.0, 0.004}) {
     LoadBalancerHarness harness;
-    harness.settings["report.load"] = 0.0;
-    harness.settings["price_probe"] = price;
+    harness.settings["load_report_index"] = 0.0;
+    harness.settings["health_check_price"] = price;
     harness.start(12);
     harness.advance_time(600000);
     for (const auto& [endpoint, checks] : harness.health_checks) {
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -26,7 +26,7 @@
   harness.send_request("a");
   FlatEvent disconnected;
   disconnected.kind = EventKind::client_disconnected;
-  disconnected.id = "a";
+  disconnected.request_id = "a";
   harness.send_event(disconnected);
   harness.end_attempt("a", Outcome::cancelled, true);
   EXPECT_TRUE(harness.last_actions.empty());
@@ -55,23 +55,23 @@
   EXPECT_TRUE(harness.has_action(ActionKind::reject_request, "a"));
 }
 
-TEST(Idempotency, UnrepeatableRequestThatMayHaveRunFails) {
+TEST(Idempotency, NonIdempotentRequestThatMayHaveRunFails) {
   for (const Outcome outcome :
        {Outcome::error, Outcome::timed_out, Outcome::connection_lost, Outcome::cancelled}) {
     LoadBalancerHarness harness;
     harness.start(6);
-    harness.send_request("a", 1, "once");
+    harness.send_request("a", 1, "non_idempotent");
     harness.end_attempt("a", outcome);
     EXPECT_EQ(harness.attempts["a"].size(), 1u);
     EXPECT_TRUE(harness.has_action(ActionKind::fail_request, "a"));
   }
 }
 
-TEST(Idempotency, UnrepeatableRequestThatDidNotRunIsRetried) {
+TEST(Idempotency, NonIdempotentRequestThatDidNotRunIsRetried) {
   for (const Outcome outcome : {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent}) {
     LoadBalancerHarness harness;
     harness.start(6);
-    harness.send_request("a", 1, "once");
+    harness.send_request("a", 1, "non_idempotent");
     harness.end_attempt("a", outcome);
     EXPECT_EQ(harness.attempts["a"].size(), 2u);
   }
@@ -84,7 +84,7 @@
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("far" + std::to_string(i), "far"),
                             EndpointState::healthy);
   }
-  const std::string first_endpoint = harness.send_request("a", 1, "marked");
+  const std::string first_endpoint = harness.send_request("a", 1, "deduplicated");
   harness.end_attempt("a", Outcome::timed_out);
   ASSERT_EQ(harness.attempts["a"].size(), 2u);
   EXPECT_EQ(harness.attempts["a"][1][0], first_endpoint[0]);
@@ -117,7 +117,7 @@
 
 TEST(EndpointSelection, GossipDecidesOverTheMeanIfThisNodeHasFewConnections) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 100.0;
+  harness.settings["node_count"] = 100.0;
   harness.start(4);
   const std::string first_endpoint = harness.send_request("a", 1);
   harness.end_attempt("a", Outcome::cancelled, true);
@@ -192,7 +192,7 @@
   for (int i = 0; i < 40; ++i) {
     LoadBalancerHarness harness;
     if (connections_elsewhere >= 0) {
-      harness.settings["nodes"] = 40.0;
+      harness.settings["node_count"] = 40.0;
     }
     harness.start(4, static_cast<std::uint64_t>(i));
     for (int endpoint = 0; connections_elsewhere >= 0 && endpoint < 4; ++endpoint) {
@@ -255,18 +255,18 @@
 TEST(TenantQuota, RequestsOverQuotaAreRejectedOnlyDuringSurge) {
   LoadBalancerHarness harness;
   harness.settings["tenant.0.name"] = "guests";
-  harness.settings["tenant.0.open"] = 1.0;
+  harness.settings["tenant.0.connection_quota"] = 1.0;
   harness.start(4);
   FlatEvent event = harness.request_from_tenant("guests");
   for (const char* id : {"a", "b"}) {
-    event.id = id;
+    event.request_id = id;
     harness.send_event(event);
     EXPECT_FALSE(harness.has_action(ActionKind::reject_request)) << "no surge";
     harness.establish(id);
   }
   harness.report_latency("a", 2000);
   harness.advance_time(200);
-  event.id = "c";
+  event.request_id = "c";
   harness.send_event(event);
   EXPECT_TRUE(harness.has_action(ActionKind::reject_request, "c"));
   EXPECT_NE(harness.send_request("d", 9), "") << "other tenants are not affected";
@@ -304,7 +304,7 @@
 
 TEST(Migration, LatencyOverEveryDeadlineMigratesAllDespiteGoodHealthChecks) {
   LoadBalancerHarness harness;
-  harness.settings["traffic.0.expiry"] = 30000.0;
+  harness.settings["traffic.0.deadline"] = 30000.0;
   harness.start(4);
   const std::string endpoint = harness.send_request("a", 1);
   harness.establish("a");
@@ -315,14 +315,14 @@
 
 TEST(Surge, EndpointsThatReportSpareCapacityAreAskedBeyondTheCandidateLimit) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["node_count"] = 400.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.start(8);
   for (int i = 0; i < 8; ++i) {
     FlatEvent health_check;
     health_check.kind = EventKind::health_check_ended;
-    health_check.host = "h" + std::to_string(i);
-    health_check.report = {0.1};
+    health_check.endpoint = "h" + std::to_string(i);
+    health_check.health_report = {0.1};
     harness.send_event(health_check);
   }
   harness.send_request("first", 1);
@@ -337,7 +337,7 @@
 
 TEST(Surge, GroupIsNotSpreadOverManyEndpoints) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
+  harness.settings["node_count"] = 400.0;
   harness.start(8);
   harness.send_request("first", 1);
   harness.establish("first");
@@ -380,7 +380,7 @@
     for (const char* zone : {"near", "far"}) {
       LoadBalancerHarness harness;
       harness.settings["zone"] = std::string(zone);
-      harness.settings["price_crossing"] = price;
+      harness.settings["cross_zone_price"] = price;
       harness.start(4);
       for (int i = 0; i < 4; ++i) {
         harness.update_endpoint(LoadBalancerHarness::endpoint_entry("f" + std::to_string(i), "far"),
@@ -416,9 +416,9 @@
     for (const char* zone : {"near", "far"}) {
       LoadBalancerHarness harness;
       harness.settings["zone"] = std::string(zone);
-      harness.settings["price_crossing"] = 0.05;
+      harness.settings["cross_zone_price"] = 0.05;
       if (reports_load) {
-        harness.settings["report.load"] = 0.0, harness.reported_load = 0.1;
+        harness.settings["load_report_index"] = 0.0, harness.reported_load = 0.1;
       }
       harness.start(4);
       for (int i = 0; i < 4; ++i) {
@@ -450,9 +450,9 @@
   std::set<TimePoint> call_times;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     LoadBalancerHarness harness;
-    harness.settings["nodes"] = 400.0;
+    harness.settings["node_count"] = 400.0;
     harness.settings["discovery"] = "on_request";
-    harness.settings["ask_within"] = 100000.0;
+    harness.settings["notified_within"] = 100000.0;
     harness.start(3, seed);
     const TimePoint start = harness.now;
     while (!harness.has_action(ActionKind::watch_endpoints) && harness.now < start + 100000) {
@@ -467,17 +467,17 @@
 
 TEST(TenantQuota, QuotaBelowOneConnectionPerNodeStillAdmitsTheTenant) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 400.0;
+  harness.settings["node_count"] = 400.0;
   harness.settings["tenant.0.name"] = "guests";
-  harness.settings["tenant.0.open"] = 100.0;
+  harness.settings["tenant.0.connection_quota"] = 100.0;
   harness.start(4);
   FlatEvent event = harness.request_from_tenant("guests");
-  event.id = "a";
+  event.request_id = "a";
   harness.send_event(event);
   harness.establish("a");
   harness.report_latency("a", 2000);
   for (const char* id : {"b", "c", "d", "e"}) {  // some may only find the slow endpoint
-    event.id = id;
+    event.request_id = id;
     harness.send_event(event);
     if (!harness.has_action(ActionKind::reject_request)) {
       return;
@@ -512,9 +512,9 @@
   harness.send_request("b"), harness.establish("b");
   FlatEvent stalled;
   stalled.kind = EventKind::request_stalled;
-  stalled.id = "a";
+  stalled.request_id = "a";
   for (const double unanswered_for : {10000.0, 20000.0, 30000.0, 40000.0}) {
-    stalled.figure = unanswered_for;
+    stalled.value = unanswered_for;
     harness.send_event(stalled);
     EXPECT_EQ(harness.migrated.size(), unanswered_for < 30000 ? 0u : 1u);
   }
@@ -562,8 +562,8 @@
 
 TEST(LoadFollowingWeights, FullEndpointGetsNoNewGroupsAndOtherGroupsStay) {
   LoadBalancerHarness harness;
-  harness.settings["weights"] = std::string("live");
-  harness.settings["nodes"] = 30.0;
+  harness.settings["weights_follow_load"] = 1.0;
+  harness.settings["node_count"] = 30.0;
   harness.start(0);
   const auto update_weight = [&](const std::string& endpoint, double weight) {
     EndpointEntry entry = LoadBalancerHarness::endpoint_entry(endpoint);
@@ -601,7 +601,7 @@
 
 TEST(AffinityGroup, GroupLargerThanAnEndpointIsSplitWithoutGossip) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 60.0;
+  harness.settings["node_count"] = 60.0;
   harness.start(20);
   harness.advance_time(100000);
   std::set<std::string> endpoints_of_large_group;
@@ -625,7 +625,7 @@
 
 TEST(Migration, SplitGroupDoesNotMigrateAsAWhole) {
   LoadBalancerHarness harness;
-  harness.settings["nodes"] = 60.0;
+  harness.settings["node_count"] = 60.0;
   harness.start(20);
   harness.advance_time(100000);
   for (int i = 0; i < 20; ++i) {
@@ -672,7 +672,7 @@
   for (const bool has_quota : {false, true}) {
     LoadBalancerHarness harness;
     if (has_quota) {
-      harness.settings["tenant.0.name"] = "t", harness.settings["tenant.0.open"] = 40.0;
+      harness.settings["tenant.0.name"] = "t", harness.settings["tenant.0.connection_quota"] = 40.0;
     }
     harness.start(1);
     harness.update_endpoint(LoadBalancerHarness::endpoint_entry("far", "far"), EndpointState::healthy);
@@ -688,7 +688,7 @@
   for (const bool has_quota : {false, true}) {
     LoadBalancerHarness harness;
     if (has_quota) {
-      harness.settings["tenant.0.name"] = "t", harness.settings["tenant.0.open"] = 200.0;
+      harness.settings["tenant.0.name"] = "t", harness.settings["tenant.0.connection_quota"] = 200.0;
     }
     harness.start(3);
     harness.advance_time(200000);
@@ -722,8 +722,8 @@
   harness.advance_time(200000);
   FlatEvent latency_report;
   latency_report.kind = EventKind::latency_reported;
-  latency_report.host = "h0";
-  latency_report.figure = 5000;
+  latency_report.endpoint = "h0";
+  latency_report.value = 5000;
   harness.send_event(latency_report);
   const auto placed = place_requests(harness, 0, 20);
   EXPECT_EQ(placed.count("h0"), 0u) << "it would be overloaded again";
@@ -756,7 +756,7 @@
     }
     for (const FlatAction& action : harness.last_actions) {
       if (action.kind == ActionKind::start_attempt) {
-        timeout = action.time;
+        timeout = action.delay;
       }
     }
     EXPECT_EQ(timeout, 30000);
@@ -773,8 +773,8 @@
 // A node with a retry budget: two retries, and a tenth of the requests received, within two seconds.
 struct RetryBudgetHarness : LoadBalancerHarness {
   RetryBudgetHarness() {
-    settings["further_tries_least"] = 2.0, settings["further_tries_share"] = 0.1;
-    settings["further_tries_span"] = 20000.0;
+    settings["retry_budget_min_retries"] = 2.0, settings["retry_budget_retry_ratio"] = 0.1;
+    settings["retry_budget_window"] = 20000.0;
     start(8);
   }
   std::size_t retries = 0;
@@ -817,7 +817,7 @@
 
 TEST(RetryBudgetLimit, BudgetHoldsForRetriesThatWaitForAHealthCheck) {
   RetryBudgetHarness harness;
-  harness.settings["report.load"] = 0.0;
+  harness.settings["load_report_index"] = 0.0;
   harness.reported_load = 0.2;
   harness.start(8);
   for (const char* id : {"a", "b", "c", "d"}) {
@@ -855,7 +855,7 @@
 TEST(EndpointList, FailedListCallIsRepeatedWithinAShortTimeLimit) {
   LoadBalancerHarness harness;
   harness.settings["discovery"] = "on_request";
-  harness.settings["ask_within"] = 8000.0;
+  harness.settings["notified_within"] = 8000.0;
   harness.start(4);
   for (int failures = 0; failures < 6; ++failures) {
     FlatEvent event;
@@ -866,7 +866,7 @@
     for (int i = 0; i < 80 && !is_called; ++i) {
       harness.now += 500;
       FlatEvent timer;
-      timer.number = 1;
+      timer.attempt_or_timer = 1;
       harness.send_event(timer);
       is_called = harness.has_action(ActionKind::watch_endpoints);
     }
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -46,11 +46,13 @@
 std::unique_ptr<LoadBalancerHarness> start_node(const Case& test_case, int node_index, std::uint64_t seed,
                                                 TimePoint now) {
   auto harness = std::make_unique<LoadBalancerHarness>();
-  harness->settings["nodes"] = static_cast<double>(test_case.nodes),
-  harness->settings["me"] = static_cast<double>(node_index);
-  harness->settings["cold_from"] = kColdCapacityShare, harness->settings["cold_time"] = kWarmUpTime;
-  harness->settings["fall_time"] = kOverloadWindow, harness->settings["fall_multiple"] = kOverloadMultiple;
-  harness->settings["probes_allowed"] = 0.0;
+  harness->settings["node_count"] = static_cast<double>(test_case.nodes),
+  harness->settings["node_index"] = static_cast<double>(node_index);
+  harness->settings["cold_capacity_share"] = kColdCapacityShare,
+  harness->settings["warm_up_time"] = kWarmUpTime;
+  harness->settings["overload_window"] = kOverloadWindow,
+  harness->settings["overload_multiple"] = kOverloadMultiple;
+  harness->settings["health_checks_allowed"] = 0.0;
   harness->now = now;
   harness->start(kWarmEndpoints, seed * 1000 + static_cast<std::uint64_t>(node_index));
   return harness;
@@ -115,8 +117,8 @@
       // An endpoint with connections of this node stays slow, which keeps up the surge.
       if (test_case.has_surge && age % (5 * kStep) == 0) {
         FlatEvent latency_report;
-        latency_report.kind = EventKind::latency_reported, latency_report.host = "h0",
-        latency_report.figure = 600;
+        latency_report.kind = EventKind::latency_reported, latency_report.endpoint = "h0",
+        latency_report.value = 600;
         harness->send_event(latency_report);
       }
       harness->send_event(FlatEvent{});  // a timer event
