--- a/src/emulator/live/clients.cpp
+++ b/src/emulator/live/clients.cpp
@@ -213,7 +213,7 @@
     if (!client.session_begun) {
       client.session_begun = true;
       client.session_ends_at = now() + from_seconds(session(i).life_s);
-      schedule_once(client.session_ends_at, [this, i] { end_session_in_plan(i); });
+      schedule_once(client.session_ends_at, [this, i] { end_planned_session(i); });
       client.session_begun_at = now();
     }
     if (now() >= from_seconds(scenario_.duration_s)) {
@@ -267,19 +267,19 @@
   }
 
   std::string request_line(std::size_t i) const {
-    const Session& its_session = session(i);
-    std::string line =
-        fmt::format("OPEN {} {} c={}", clients_[i].request_id, hex(its_session.seed), traffic_type(i).name);
-    if (its_session.tenant >= 0) {
-      line += ",t=" + scenario_.tenants[static_cast<std::size_t>(its_session.tenant)].name;
+    const Session& planned_session = session(i);
+    std::string line = fmt::format("OPEN {} {} c={}", clients_[i].request_id, hex(planned_session.seed),
+                                   traffic_type(i).name);
+    if (planned_session.tenant >= 0) {
+      line += ",t=" + scenario_.tenants[static_cast<std::size_t>(planned_session.tenant)].name;
     }
     const bool resumes = was_open_before_run(i) && clients_[i].attempt == 1;
     line += fmt::format(",d={}", resumes ? kResumedDeadlineMs : static_cast<long>(traffic_type(i).expiry_ms));
     if (resumes) {
       line += ",at=" + endpoint_before_run(i);
     }
-    if (its_session.group >= 0) {
-      line += ",g=" + hex(XXH64(&its_session.group, sizeof its_session.group, 7) >> 1);
+    if (planned_session.group >= 0) {
+      line += ",g=" + hex(XXH64(&planned_session.group, sizeof planned_session.group, 7) >> 1);
     }
     if (clients_[i].attempt > 1) {
       line += ",again=1";
@@ -548,7 +548,7 @@
     client.unsent.clear(), client.received.clear();
   }
 
-  void end_session_in_plan(std::size_t i) {
+  void end_planned_session(std::size_t i) {
     Client& client = clients_[i];
     if (client.session_ended) {
       return;
--- a/src/emulator/live/gather.cpp
+++ b/src/emulator/live/gather.cpp
@@ -95,12 +95,12 @@
   return costs;
 }
 
-Result result_of(const Scenario& scenario, const Plan& plan, std::uint64_t seed, RunRecords run_records) {
+Result make_result(const Scenario& scenario, const Plan& plan, std::uint64_t seed, RunRecords run_records) {
   Result result;
   result.driver = "live", result.policy = "node", result.seed = seed;
   result.set_run(scenario, plan);
   auto& records = run_records.records;
-  // Of the records with one time, a client's request goes first and what the client receives goes last.
+  // Among records of the same time, a client's request is sorted first and what the client receives last.
   const auto rank = [](RecordKind kind) {
     return kind == RecordKind::request_sent                                              ? 0
            : kind == RecordKind::answer_received || kind == RecordKind::connection_ended ? 2
--- a/src/emulator/live/gather.h
+++ b/src/emulator/live/gather.h
@@ -19,7 +19,7 @@
   std::vector<std::vector<Sample>> samples;  // by node
 };
 
-Result result_of(const Scenario& scenario, const Plan& plan, std::uint64_t seed, RunRecords run_records);
+Result make_result(const Scenario& scenario, const Plan& plan, std::uint64_t seed, RunRecords run_records);
 
 /// Estimates the cost of each kind of work by least squares without negative costs.
 /// @param work for each sample the amount of each kind.
--- a/src/emulator/live/live.cpp
+++ b/src/emulator/live/live.cpp
@@ -159,7 +159,7 @@
       run_records.records.push_back(
           {0, RecordKind::event_loop_late, "", static_cast<long>(worst_lateness_), 0, 0});
     }
-    return result_of(scenario_, plan_, options_.seed, std::move(run_records));
+    return make_result(scenario_, plan_, options_.seed, std::move(run_records));
   }
 
  private:
@@ -416,7 +416,7 @@
           ++sample.descriptors;
         }
         closedir(descriptors);
-        sample.descriptors -= 2;  // the folder itself and the sample above
+        sample.descriptors -= 2;  // the entries "." and ".."
       }
       if (sample.when >= 0 && cpu_ns > 0) {
         samples_[n].push_back(sample);
--- a/tests/emulator/gather_test.cpp
+++ b/tests/emulator/gather_test.cpp
@@ -14,10 +14,10 @@
 TEST(Gather, EstimatesTheCostOfEachKindOfWork) {
   std::vector<std::vector<double>> work;
   std::vector<double> cpu_s;
-  Stream chance(3, "costs");
+  Stream draws(3, "costs");
   for (int i = 0; i < 60; ++i) {
-    work.push_back({std::floor(chance.between(0, 40)), std::floor(chance.between(0, 200)), 0.25});
-    cpu_s.push_back(work.back()[0] * 150e-6 + work.back()[1] * 50e-6 + 0.25 * 0.02 + 1e-5 * chance.normal());
+    work.push_back({std::floor(draws.between(0, 40)), std::floor(draws.between(0, 200)), 0.25});
+    cpu_s.push_back(work.back()[0] * 150e-6 + work.back()[1] * 50e-6 + 0.25 * 0.02 + 1e-5 * draws.normal());
   }
   const auto costs = estimate_costs(work, cpu_s);
   EXPECT_NEAR(costs[0], 150e-6, 5e-6);
@@ -35,9 +35,9 @@
   World world;
   RunRecords run_records;
   run_records.records.push_back({100, RecordKind::event_loop_late, "", 190 * kMs, 0, 0});
-  EXPECT_EQ(result_of(world.scenario, world.plan, 1, run_records).void_reason, "");
+  EXPECT_EQ(make_result(world.scenario, world.plan, 1, run_records).void_reason, "");
   run_records.records.push_back({200, RecordKind::event_loop_late, "", 1000 * kMs, 0, 0});
-  EXPECT_NE(result_of(world.scenario, world.plan, 1, run_records).void_reason, "");
+  EXPECT_NE(make_result(world.scenario, world.plan, 1, run_records).void_reason, "");
 }
 
 }  // namespace
