--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -1,4 +1,4 @@
-// Printing of the counters. Design: docs/oncall.md, "Counters".
+// Output of the counters as log lines. See docs/oncall.md, "Counters".
 #include "base/counters.h"
 
 #include <spdlog/fmt/fmt.h>
@@ -8,8 +8,9 @@
 namespace dapplewharf {
 namespace {
 
-// Where the line with the former names began a new group, by the former name of the group's first counter.
-std::string_view group_before(std::string_view former_name) {
+// The line with the former names groups its counters under headings.
+// @return the heading to print before a counter, empty unless the counter is the first of its group.
+std::string_view group_heading(std::string_view former_name) {
   if (former_name == "accepted") {
     return " taken-in";
   }
@@ -41,7 +42,7 @@
 std::string Counters::format_with_former_names() const {
   std::string line = "counters";
   for (const CounterDescription& counter : kCounterTable) {
-    line += group_before(counter.former_name);
+    line += group_heading(counter.former_name);
     line += fmt::format(" {}={}", counter.former_name, this->*counter.value);
   }
   return line;
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -1,5 +1,5 @@
-// Counts of what the node receives, sends and answers. Owns the counts, their names and their printing;
-// nothing reads them to decide. Design: docs/oncall.md, "Counters".
+// Event counters of a node, with their names and descriptions, and their output as one log line. No decision
+// depends on a counter. See docs/oncall.md, "Counters".
 #pragma once
 #include <array>
 #include <cstdint>
@@ -7,6 +7,7 @@
 
 namespace dapplewharf {
 
+/// All counters of a node, since the process started.
 struct Counters {
   // received
   std::uint64_t clients_accepted = 0;
@@ -55,20 +56,22 @@
   std::uint64_t reconnects = 0;
   std::uint64_t rule_violations = 0;
 
-  /// One line "counters name=value ..." with the names of `kCounterTable`.
+  /// @return one line "counters name=value ..." with the names of `kCounterTable`.
   [[nodiscard]] std::string format() const;
-  /// One line with the names of before, in the order and form of before; goes after one release.
+  /// @return one line with the former names, in the order and form of the previous release; it will be
+  /// removed in the next release.
   [[nodiscard]] std::string format_with_former_names() const;
 };
 
-/// How a counter is printed and what it counts.
+/// The names of a counter and what it counts.
 struct CounterDescription {
   std::uint64_t Counters::*value;
   const char* name;
-  const char* former_name;  ///< printed as an alias for one release
+  const char* former_name;  ///< also printed, until the next release
   const char* meaning;
 };
 
+/// All counters, in the order in which they are printed.
 inline constexpr std::array kCounterTable{
     CounterDescription{&Counters::clients_accepted, "clients_accepted", "accepted",
                        "client connections accepted"},
@@ -86,7 +89,7 @@
                        "calls to discovery without a usable answer"},
     CounterDescription{&Counters::reloads, "reloads", "reloads", "SIGHUPs"},
     CounterDescription{&Counters::reloads_rejected, "reloads_rejected", "reloads-refused",
-                       "SIGHUPs whose file was not taken"},
+                       "SIGHUPs whose configuration was rejected"},
     CounterDescription{&Counters::attempts, "attempts", "tries", "attempts begun"},
     CounterDescription{&Counters::attempts_written, "attempts_written", "written",
                        "attempts whose request was sent in full"},
--- a/src/base/event_loop.cpp
+++ b/src/base/event_loop.cpp
@@ -11,26 +11,26 @@
 namespace {
 
 template <class Clock>
-TimePoint tenths() {
-  const auto since = Clock::now().time_since_epoch();
-  return std::chrono::duration_cast<std::chrono::microseconds>(since).count() / 100;
+TimePoint ticks_since_epoch() {
+  const auto elapsed = Clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::microseconds>(elapsed).count() / 100;
 }
 
 }  // namespace
 
 TimePoint EventLoop::unix_now() {
-  return tenths<std::chrono::system_clock>();
+  return ticks_since_epoch<std::chrono::system_clock>();
 }
 
 TimePoint EventLoop::steady_now() {
-  return tenths<std::chrono::steady_clock>();
+  return ticks_since_epoch<std::chrono::steady_clock>();
 }
 
-EventLoop::EventLoop() : start_(unix_now() - steady_now()) {
-  tick();
+EventLoop::EventLoop() : steady_clock_offset_(unix_now() - steady_now()) {
+  update_time();
 }
 
-void EventLoop::tick() {
+void EventLoop::update_time() {
   now_ = std::max(now_, from_steady(steady_now()));
 }
 
@@ -46,7 +46,7 @@
 
 void EventLoop::schedule(Deadline& deadline, TimePoint when, DueCallback due) {
   cancel(deadline);
-  deadline = {when, ++numbers_};
+  deadline = {when, ++last_number_};
   deadlines_.emplace(deadline, std::move(due));
 }
 
@@ -57,54 +57,57 @@
   deadline = {};
 }
 
-// Danger: one connection's fault ends the process and all others with it.
-void EventLoop::run(const DueCallback& what) const {
+// Without the handler an exception in the callback of one connection would end the process, and with it all
+// other connections.
+void EventLoop::run_guarded(const DueCallback& callback) const {
   try {
-    what();
+    callback();
   } catch (const std::exception& error) {
     spdlog::error("fault contained: {}", error.what());
   }
 }
 
-void EventLoop::run_once(Duration longest) {
+void EventLoop::run_once(Duration max_wait) {
   std::vector<pollfd> polled;
-  std::vector<Handle> tickets;
-  watched_.for_each([&](Handle ticket, const Watched& watched) {
+  std::vector<Handle> handles;
+  watched_.for_each([&](Handle handle, const Watched& watched) {
     if (watched.events == 0) {
-      return;  // danger: an end that is not to be read yet would wake poll for ever
+      return;  // poll reports a closed peer whatever it is asked for, and would return at once each time
     }
     polled.push_back({watched.descriptor, watched.events, 0});
-    tickets.push_back(ticket);
+    handles.push_back(handle);
   });
-  tick();
-  Duration wait = longest;
+  update_time();
+  Duration wait = max_wait;
   if (!deadlines_.empty()) {
     wait = std::min(wait, deadlines_.begin()->first.when - now_);
   }
-  const auto ms = static_cast<int>((std::max<Duration>(wait, 0) + 9) / 10);  // never before its time
+  const auto ms =
+      static_cast<int>((std::max<Duration>(wait, 0) + 9) / 10);  // rounded up: not before the deadline
   const int found = poll(polled.data(), polled.size(), ms);
   if (found < 0 && errno != EINTR) {
     spdlog::error("poll: error {}", errno);
-    std::this_thread::sleep_for(std::chrono::milliseconds(1));  // danger: it may go on failing for a while
+    std::this_thread::sleep_for(std::chrono::milliseconds(1));  // avoids a busy loop while poll fails
   }
-  tick();
-  late_ = deadlines_.empty() ? 0 : std::max<Duration>(now_ - deadlines_.begin()->first.when, 0);
+  update_time();
+  lateness_ = deadlines_.empty() ? 0 : std::max<Duration>(now_ - deadlines_.begin()->first.when, 0);
   for (std::size_t i = 0; found > 0 && i < polled.size(); ++i) {
     if (polled[i].revents == 0) {
       continue;
     }
-    Watched* watched = watched_.find(tickets[i]);
+    Watched* watched = watched_.find(handles[i]);
     if (!watched) {
       continue;
     }
-    const ReadyCallback ready = watched->ready;  // it may drop itself
-    run([&] { ready(polled[i].revents); });
+    const ReadyCallback ready = watched->ready;  // a copy, as the callback may unwatch itself
+    run_guarded([&] { ready(polled[i].revents); });
   }
-  // Danger: after a pause of the process everything seems overdue; what has come meanwhile is read before.
+  // Ready descriptors come first: after the process was suspended all deadlines have passed, and timeouts
+  // would fire although the awaited bytes have arrived.
   while (!deadlines_.empty() && deadlines_.begin()->first.when <= now_) {
     const DueCallback due = std::move(deadlines_.begin()->second);
     deadlines_.erase(deadlines_.begin());
-    run(due);
+    run_guarded(due);
   }
 }
 
--- a/src/base/keep_last.h
+++ b/src/base/keep_last.h
@@ -1,4 +1,4 @@
-// Bounded histories of samples.
+// A helper for bounded histories of samples.
 #pragma once
 #include <cstddef>
 #include <deque>
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -14,11 +14,11 @@
 namespace dapplewharf {
 namespace {
 
-constexpr std::size_t kLongest = 2048;  // a pipe that polls writable takes this much at once
+constexpr std::size_t kMaxWriteBytes = 2048;  // a pipe that poll reports as writable accepts this many bytes
 
-class PatientSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+class NonBlockingSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  protected:
-  // Danger: a reader that sleeps fills the pipe, and a write that waits would stop the whole node.
+  // If the reader stops reading, the pipe fills up, and a blocking write would stop the whole node.
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
@@ -28,13 +28,13 @@
       return;
     }
     if (dropped_ > 0) {
-      const std::string told = "log lines dropped: " + std::to_string(dropped_) + "\n";
+      const std::string notice = "log lines dropped: " + std::to_string(dropped_) + "\n";
       dropped_ = 0;
-      if (write(STDOUT_FILENO, told.data(), told.size()) < 0) {
+      if (write(STDOUT_FILENO, notice.data(), notice.size()) < 0) {
         ++dropped_;
       }
     }
-    if (write(STDOUT_FILENO, line.data(), std::min(line.size(), kLongest)) < 0) {
+    if (write(STDOUT_FILENO, line.data(), std::min(line.size(), kMaxWriteBytes)) < 0) {
       ++dropped_;
     }
   }
@@ -46,10 +46,10 @@
 
 constexpr const char* kPattern = "%Y-%m-%dT%H:%M:%S.%e %l %v";
 
-// One object a line, whatever the message holds.
+// Formats each message as one JSON object on one line, replacing invalid UTF-8.
 class JsonFormatter : public spdlog::formatter {
  public:
-  void format(const spdlog::details::log_msg& message, spdlog::memory_buf_t& to) override {
+  void format(const spdlog::details::log_msg& message, spdlog::memory_buf_t& destination) override {
     spdlog::memory_buf_t time;
     time_.format(message, time);
     const auto level = spdlog::level::to_string_view(message.level);
@@ -59,7 +59,7 @@
         {"package", std::string(message.logger_name.data(), message.logger_name.size())},
         {"message", std::string(message.payload.data(), message.payload.size())}};
     const std::string text = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
-    to.append(text.data(), text.data() + text.size());
+    destination.append(text.data(), text.data() + text.size());
   }
   std::unique_ptr<spdlog::formatter> clone() const override { return std::make_unique<JsonFormatter>(); }
 
@@ -72,7 +72,8 @@
 }  // namespace
 
 void start_logging() {
-  const auto sink = std::make_shared<PatientSink>();  // one for both, so that lines stay in order
+  const auto sink =
+      std::make_shared<NonBlockingSink>();  // shared by both loggers, so that lines stay in order
   node_log = std::make_shared<spdlog::logger>("node", sink);
   decision_log = std::make_shared<spdlog::logger>("decisions", sink);
   spdlog::set_default_logger(node_log);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,18 +1,22 @@
-// Where the log goes: standard output, through spdlog. Never waits for its reader; what it can't take is
-// counted and dropped.
+// Logging to standard output through spdlog. Writing never blocks: lines that the reader of standard output
+// does not accept in time are dropped and counted.
 #pragma once
 #include <string>
 
 namespace dapplewharf {
 
+/// The format of the log and its levels: debug, info, warning, error or off.
 struct LogSettings {
-  bool json = false;  // one object a line in place of a line of text
-  std::string level = "info",
-              decisions = "info";  // debug, info, warning, error or off; of the module's own lines
+  bool json = false;               ///< one JSON object per line instead of text
+  std::string level = "info";      ///< of the node's lines
+  std::string decisions = "info";  ///< of the lines of the policy
 };
 
+/// Sets up logging with default settings; called once, before the first log line.
 void start_logging();
+/// Applies settings; does nothing before `start_logging`.
 void configure_logging(const LogSettings& settings);
-void log_decision(const std::string& line);  // a line of the decision module
+/// Logs a line of the policy.
+void log_decision(const std::string& line);
 
 }  // namespace dapplewharf
--- a/src/base/overloaded.h
+++ b/src/base/overloaded.h
@@ -1,10 +1,10 @@
-// A visitor for std::visit made of one lambda for each alternative. Owns nothing. Design:
+// A visitor for std::visit that is composed of lambdas, one for each alternative of a variant. See
 // docs/architecture.md.
 #pragma once
 
 namespace dapplewharf {
 
-/// Without a case for an alternative of the variant the visit does not compile.
+/// The visit does not compile if an alternative of the variant has no lambda.
 template <class... Cases>
 struct Overloaded : Cases... {
   using Cases::operator()...;
--- a/src/base/retry.h
+++ b/src/base/retry.h
@@ -1,21 +1,23 @@
-// Repeats a step that a passing failure of the system may stop, with a pause between. Blocks its caller, so
-// it is for the start of a process only. Owns nothing. Design: docs/architecture.md.
+// Retries an operation that may fail because of a transient error of the system. It blocks its caller between
+// attempts, so it is meant for the start of a process. See docs/architecture.md.
 #pragma once
 #include <chrono>
 #include <thread>
 
 namespace dapplewharf {
 
-/// What one run of a step came to.
+/// The result of one attempt; `retry` is a transient error.
 enum class StepResult { succeeded, retry, failed };
 
+/// How often and in which interval an operation is attempted.
 struct RetrySchedule {
-  int max_attempts = 1;                ///< runs in all
-  std::chrono::milliseconds delay{0};  ///< between two runs
+  int max_attempts = 1;                ///< including the first one
+  std::chrono::milliseconds delay{0};  ///< between two attempts
 };
 
-/// Runs `step(attempt)`, counted from 1, until it succeeds, fails or has run `max_attempts` times.
-/// @return whether it succeeded.
+/// Calls `step(attempt)`, with attempts counted from 1, until it succeeds, fails or has been called
+/// `max_attempts` times.
+/// @return whether an attempt succeeded.
 template <class Step>
 bool retry_blocking(const RetrySchedule& schedule, Step step) {
   for (int attempt = 1;; ++attempt) {
--- a/src/base/slot_map.h
+++ b/src/base/slot_map.h
@@ -1,6 +1,6 @@
-// Tables of numbered slots. A ticket names a slot and the life it had when the ticket was given, so that a
-// late event never hits a slot that has been given to another. Owns what lies in the slots; knows nothing of
-// it.
+// A container whose elements are addressed by handles. A handle holds the slot of an element and the slot's
+// generation, which changes with each reuse, so that a stale handle never finds the element that has taken
+// over the slot.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -10,46 +10,51 @@
 
 namespace dapplewharf {
 
+/// Addresses an element of a SlotMap; a default-constructed handle addresses none.
 struct Handle {
-  std::uint32_t slot = 0, generation = 0;  // no ticket has life 0
+  std::uint32_t slot = 0, generation = 0;  // generation 0 is never used for an element
   explicit operator bool() const { return generation != 0; }
   bool operator==(const Handle&) const = default;
 };
 
+/// Owns its elements.
 template <class Value>
 class SlotMap {
  public:
-  Handle insert(Value thing) {
+  Handle insert(Value value) {
     if (free_.empty()) {
       free_.push_back(static_cast<std::uint32_t>(slots_.size()));
       slots_.emplace_back();
     }
-    const std::uint32_t at = free_.back();
+    const std::uint32_t slot = free_.back();
     free_.pop_back();
-    slots_[at].thing = std::make_unique<Value>(std::move(thing));
-    if (++slots_[at].life == 0) {
-      ++slots_[at].life;
+    slots_[slot].value = std::make_unique<Value>(std::move(value));
+    if (++slots_[slot].generation == 0) {
+      ++slots_[slot].generation;
     }
-    return {at, slots_[at].life};
+    return {slot, slots_[slot].generation};
   }
-  Value* find(Handle ticket) {
-    if (ticket.slot >= slots_.size() || slots_[ticket.slot].life != ticket.generation) {
+  /// @return null if the element has been erased.
+  Value* find(Handle handle) {
+    if (handle.slot >= slots_.size() || slots_[handle.slot].generation != handle.generation) {
       return nullptr;
     }
-    return slots_[ticket.slot].thing.get();
+    return slots_[handle.slot].value.get();
   }
-  void erase(Handle ticket) {
-    if (!find(ticket)) {
+  /// Does nothing if the element has been erased before.
+  void erase(Handle handle) {
+    if (!find(handle)) {
       return;
     }
-    const auto gone = std::move(slots_[ticket.slot].thing);  // ended last: its end may add to the table
-    free_.push_back(ticket.slot);
+    const auto erased = std::move(slots_[handle.slot].value);  // destroyed last, as its destructor may insert
+    free_.push_back(handle.slot);
   }
+  /// Calls `visit(handle, value)` for each element; it may erase elements.
   template <class Visit>
-  void for_each(Visit visit) {  // what is visited may be dropped on the way
-    for (std::uint32_t at = 0; at < slots_.size(); ++at) {
-      if (slots_[at].thing) {
-        visit(Handle{at, slots_[at].life}, *slots_[at].thing);
+  void for_each(Visit visit) {
+    for (std::uint32_t slot = 0; slot < slots_.size(); ++slot) {
+      if (slots_[slot].value) {
+        visit(Handle{slot, slots_[slot].generation}, *slots_[slot].value);
       }
     }
   }
@@ -57,8 +62,8 @@
 
  private:
   struct Slot {
-    std::uint32_t life = 0;
-    std::unique_ptr<Value> thing;
+    std::uint32_t generation = 0;
+    std::unique_ptr<Value> value;
   };
   std::vector<Slot> slots_;
   std::vector<std::uint32_t> free_;
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -16,13 +16,13 @@
 namespace dapplewharf {
 namespace {
 
-constexpr int kSendTries = 64;
-constexpr int kPassingTries = 80;  // 8 s: a restarted process is to be ready within 10 s
-constexpr int kBindTries = 20;
-constexpr std::chrono::milliseconds kBindDelay{100};
+constexpr int kMaxSendCalls = 64;       // for one short message
+constexpr int kMaxListenAttempts = 80;  // 8 s in all, as a restarted process has to be ready within 10 s
+constexpr int kMaxBindAttempts = 20;    // 2 s in all, while the address is in use
+constexpr std::chrono::milliseconds kListenRetryDelay{100};
 
-// Of a read or write on a socket that stands: nothing has happened to the connection.
-bool may_be_called_again(int error) {
+// Whether a read or write with this errno may be called again, as the connection is still intact.
+bool is_retryable(int error) {
   return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOBUFS || error == ENOMEM;
 }
 
@@ -54,19 +54,19 @@
   if (colon == std::string::npos) {
     return std::nullopt;
   }
-  sockaddr_in to{};
-  to.sin_family = AF_INET;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
   std::uint16_t port = 0;
   const char* const end = text.data() + text.size();
-  const auto [rest, fault] = std::from_chars(text.data() + colon + 1, end, port);
-  if (fault != std::errc() || rest != end || port == 0) {
+  const auto [parsed_end, error] = std::from_chars(text.data() + colon + 1, end, port);
+  if (error != std::errc() || parsed_end != end || port == 0) {
     return std::nullopt;
   }
-  to.sin_port = htons(port);
-  if (inet_pton(AF_INET, text.substr(0, colon).c_str(), &to.sin_addr) != 1) {
+  address.sin_port = htons(port);
+  if (inet_pton(AF_INET, text.substr(0, colon).c_str(), &address.sin_addr) != 1) {
     return std::nullopt;
   }
-  return to;
+  return address;
 }
 
 int descriptor_limit(int wanted) {
@@ -82,15 +82,15 @@
 
 void Socket::close() {
   if (descriptor_ >= 0) {
-    ::close(descriptor_), --held_;
+    ::close(descriptor_), --open_sockets_;
   }
   descriptor_ = -1;
 }
 
 void Socket::close_with_reset() {
-  const linger now{1, 0};
+  const linger reset_on_close{1, 0};
   if (descriptor_ >= 0) {
-    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   }
   close();
 }
@@ -101,35 +101,36 @@
   }
 }
 
-std::optional<std::size_t> Socket::receive(std::string& to, std::size_t most, bool& ended) const {
+std::optional<std::size_t> Socket::receive(std::string& destination, std::size_t max_bytes,
+                                           bool& ended) const {
   char bytes[16 * 1024];
-  const ssize_t got = recv(descriptor_, bytes, std::min(most, sizeof bytes), 0);
-  if (got > 0) {
-    to.append(bytes, static_cast<std::size_t>(got));
+  const ssize_t received = recv(descriptor_, bytes, std::min(max_bytes, sizeof bytes), 0);
+  if (received > 0) {
+    destination.append(bytes, static_cast<std::size_t>(received));
   }
-  if (got >= 0) {
-    ended = got == 0;
-    return static_cast<std::size_t>(got);
+  if (received >= 0) {
+    ended = received == 0;
+    return static_cast<std::size_t>(received);
   }
-  if (may_be_called_again(errno)) {
+  if (is_retryable(errno)) {
     return 0;
   }
   return std::nullopt;
 }
 
 std::optional<std::size_t> Socket::send(const char* bytes, std::size_t size) const {
-  const ssize_t given = ::send(descriptor_, bytes, size, MSG_NOSIGNAL);
-  if (given >= 0) {
-    return static_cast<std::size_t>(given);
+  const ssize_t sent = ::send(descriptor_, bytes, size, MSG_NOSIGNAL);
+  if (sent >= 0) {
+    return static_cast<std::size_t>(sent);
   }
-  if (may_be_called_again(errno)) {
+  if (is_retryable(errno)) {
     return 0;
   }
   return std::nullopt;
 }
 
 void Socket::send_without_waiting(std::string_view bytes) const {
-  for (int i = 0; i < kSendTries && !bytes.empty(); ++i) {
+  for (int i = 0; i < kMaxSendCalls && !bytes.empty(); ++i) {
     const auto sent = send(bytes.data(), bytes.size());
     if (!sent) {
       return;
@@ -140,56 +141,59 @@
 
 bool Socket::has_input() const {
   char byte;
-  return recv(descriptor_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 || !may_be_called_again(errno);
+  return recv(descriptor_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 || !is_retryable(errno);
 }
 
 bool Socket::is_connected() const {
-  int fault = 0;
-  socklen_t size = sizeof fault;
-  return getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &fault, &size) == 0 && fault == 0;
+  int error = 0;
+  socklen_t size = sizeof error;
+  return getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
 }
 
-ConnectStart start_connecting(const sockaddr_in& to, int limit, int kept_back, Socket& socket) {
-  Socket made(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  // Danger: tries that take the last descriptors leave none to tell clients so.
-  if (Socket::is_short_of_descriptors(limit, kept_back)) {
+ConnectStart start_connecting(const sockaddr_in& address, int limit, int reserved, Socket& socket) {
+  Socket created(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  // Attempts that took the last descriptors would leave none for accepting clients and rejecting their
+  // requests.
+  if (Socket::is_short_of_descriptors(limit, reserved)) {
     return ConnectStart::no_descriptor;
   }
-  if (!made) {
+  if (!created) {
     return ConnectStart::local_failure;
   }
   const int on = 1;
-  setsockopt(made.descriptor(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  const int done = connect(made.descriptor(), reinterpret_cast<const sockaddr*>(&to), sizeof to);
-  if (done != 0 && errno != EINPROGRESS && errno != EINTR) {
+  setsockopt(created.descriptor(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  const int result =
+      connect(created.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  if (result != 0 && errno != EINPROGRESS && errno != EINTR) {
     return is_transient_local_error(errno) ? ConnectStart::local_failure : ConnectStart::refused;
   }
-  socket = std::move(made);
+  socket = std::move(created);
   return ConnectStart::in_progress;
 }
 
-std::optional<std::string> listen_on(const sockaddr_in& at, Socket& socket) {
+std::optional<std::string> listen_on(const sockaddr_in& address, Socket& socket) {
   int error = 0;
-  const bool listens = retry_blocking({kPassingTries, kBindDelay}, [&](int attempt) {
-    Socket made(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  const bool listening = retry_blocking({kMaxListenAttempts, kListenRetryDelay}, [&](int attempt) {
+    Socket created(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
-    if (made) {
-      setsockopt(made.descriptor(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+    if (created) {
+      setsockopt(created.descriptor(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     }
-    if (made && bind(made.descriptor(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 &&
-        listen(made.descriptor(), SOMAXCONN) == 0) {
-      socket = std::move(made);
+    if (created &&
+        bind(created.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0 &&
+        listen(created.descriptor(), SOMAXCONN) == 0) {
+      socket = std::move(created);
       return StepResult::succeeded;
     }
     error = errno;
-    if (error == EADDRINUSE) {  // the process before this one may not quite have ended
-      return attempt < kBindTries ? StepResult::retry : StepResult::failed;
+    if (error == EADDRINUSE) {  // the previous process may still be exiting
+      return attempt < kMaxBindAttempts ? StepResult::retry : StepResult::failed;
     }
-    // An address that is not this machine's never becomes one.
-    const bool passing = is_transient_local_error(error) && error != EADDRNOTAVAIL;
-    return passing ? StepResult::retry : StepResult::failed;
+    // An address that this machine does not have is a permanent error here.
+    const bool transient = is_transient_local_error(error) && error != EADDRNOTAVAIL;
+    return transient ? StepResult::retry : StepResult::failed;
   });
-  return listens ? std::nullopt : std::optional(std::string(std::strerror(error)));
+  return listening ? std::nullopt : std::optional(std::string(std::strerror(error)));
 }
 
 }  // namespace dapplewharf
--- a/src/base/socket.h
+++ b/src/base/socket.h
@@ -1,5 +1,5 @@
-// One descriptor and the few calls made on it: addresses, listening, connecting, closing in kind. Owns the
-// descriptor; never blocks, never raises SIGPIPE, never decides.
+// Non-blocking TCP sockets for IPv4: an owner of the file descriptor with its calls, and functions that
+// connect and listen. Sending never raises SIGPIPE.
 #pragma once
 #include <netinet/in.h>
 #include <sys/types.h>
@@ -13,26 +13,32 @@
 
 namespace dapplewharf {
 
-constexpr int kReservedDescriptors =
-    16;  // descriptors that no setup try takes, so that clients get an answer
-constexpr int kReservedFromHealthChecks =
-    6;  // and that no probe takes: discovery can be dialled whatever clients hold
-constexpr int kReservedFromDiscovery = 2;  // and that discovery leaves, lest all hosts look bad
+/// File descriptors that attempts leave free, so that clients can still be accepted and answered.
+constexpr int kReservedDescriptors = 16;
+/// File descriptors that health checks leave free, so that discovery can connect however many clients there
+/// are.
+constexpr int kReservedFromHealthChecks = 6;
+/// File descriptors that calls to discovery leave free; without any, all hosts would look unreachable.
+constexpr int kReservedFromDiscovery = 2;
 
-std::optional<sockaddr_in> parse_address(const std::string& text);  // a.b.c.d:port
-int descriptor_limit(int wanted);  // sets the process's limit as near to `wanted` as may be; returns it
+/// Parses an address of the form a.b.c.d:port.
+std::optional<sockaddr_in> parse_address(const std::string& text);
+/// Sets the process's limit of file descriptors to `wanted`, or to the hard limit if that is lower.
+/// @return the limit that now holds, at most `wanted`.
+int descriptor_limit(int wanted);
 
-// What a configuration says of descriptors and connecting. One holds for all parts of a node.
+/// Limits from the configuration that all parts of a node share.
 struct Limits {
-  int descriptors = 1024;
-  Duration connect_timeout = 0;
-  std::size_t max_list_bytes = 1024 * 1024;  // the largest list of hosts that is read
+  int descriptors = 1024;                    ///< open file descriptors of the process
+  Duration connect_timeout = 0;              ///< of a TCP connect
+  std::size_t max_list_bytes = 1024 * 1024;  ///< size of an endpoint list
 };
 
+/// Owns the file descriptor of a non-blocking socket, or none.
 class Socket {
  public:
   Socket() = default;
-  explicit Socket(int descriptor) : descriptor_(descriptor) { held_ += descriptor >= 0 ? 1 : 0; }
+  explicit Socket(int descriptor) : descriptor_(descriptor) { open_sockets_ += descriptor >= 0 ? 1 : 0; }
   Socket(Socket&& other) noexcept : descriptor_(std::exchange(other.descriptor_, -1)) {}
   Socket& operator=(Socket&& other) noexcept {
     std::swap(descriptor_, other.descriptor_);
@@ -43,43 +49,64 @@
   int descriptor() const { return descriptor_; }
   explicit operator bool() const { return descriptor_ >= 0; }
   void close();
-  void close_with_reset();         // closes with a reset
-  void shut_down_sending() const;  // ends the sending only
+  /// Closes the connection with a TCP reset.
+  void close_with_reset();
+  /// Closes the sending direction only.
+  void shut_down_sending() const;
 
-  // Bytes taken or given; 0 for none now; nothing when the connection is broken. `ended`: no more will come.
-  std::optional<std::size_t> receive(std::string& to, std::size_t most, bool& ended) const;
+  /// Appends received bytes to `destination`.
+  /// @param max_bytes at most so many bytes are received.
+  /// @param ended set to whether the peer has closed its sending direction; unchanged if nothing can be
+  /// read now.
+  /// @return the number of bytes, 0 if none are available now, and nullopt if the connection is broken.
+  std::optional<std::size_t> receive(std::string& destination, std::size_t max_bytes, bool& ended) const;
+  /// @return the number of bytes that were sent, 0 if none can be sent now, and nullopt if the connection is
+  /// broken.
   std::optional<std::size_t> send(const char* bytes, std::size_t size) const;
-  // A few bytes that have to go whole or not matter any more: sent on over short writes and interruptions,
-  // while the system takes them at once.
+  /// Sends a short message, continuing after partial writes and interruptions, but without waiting for the
+  /// socket to become writable. It gives up where the connection is broken, as the message does not matter
+  /// then.
   void send_without_waiting(std::string_view bytes) const;
-  bool has_input() const;     // bytes to be read, or its end
-  bool is_connected() const;  // asked once poll says that it is writable
+  /// Whether bytes, the end of the stream or an error can be read.
+  bool has_input() const;
+  /// Whether connecting succeeded; valid once poll reports the socket as writable.
+  bool is_connected() const;
 
-  // Whether at most `kept_back` of the process's `limit` descriptors are left. Danger: the number of a new
-  // one tells this only while no lower one is free.
-  static bool is_short_of_descriptors(int limit, int kept_back) {
-    return held_ + kOthers >= limit - kept_back;
+  /// Whether at most `reserved` of the process's `limit` file descriptors are left. The sockets are counted,
+  /// as the number of a new descriptor says nothing about it: the system assigns the lowest free number.
+  static bool is_short_of_descriptors(int limit, int reserved) {
+    return open_sockets_ + kOtherDescriptors >= limit - reserved;
   }
 
  private:
-  static constexpr int kOthers = 7;  // the three standard ones, the signals' pipe, and a file being read
-  inline static int held_ = 0;
+  static constexpr int kOtherDescriptors = 7;  // the standard streams, the signal pipe, a file being read
+  inline static int open_sockets_ = 0;
   int descriptor_ = -1;
 };
 
-// no_descriptor: the process has none left to spend; local_failure: the system refused for now, which says
-// nothing of the peer; refused: the peer's own doing.
-enum class ConnectStart { in_progress, refused, no_descriptor, local_failure };
-// A connection in the making; poll says when it stands. Leaves the last `kept_back` of `limit` descriptors.
-ConnectStart start_connecting(const sockaddr_in& to, int limit, int kept_back, Socket& socket);
-// What went wrong, if anything. Waits up to 2 s for an address that is still taken, up to 8 s for a system
-// short of memory, descriptors or buffers.
-std::optional<std::string> listen_on(const sockaddr_in& at, Socket& socket);
+/// The result of beginning to connect.
+enum class ConnectStart {
+  in_progress,
+  refused,        ///< by the peer
+  no_descriptor,  ///< only reserved file descriptors are left
+  local_failure   ///< a transient failure of this machine, which says nothing about the peer
+};
+/// Begins to connect; poll reports the socket as writable once it is connected or has failed.
+/// @param limit of the process's file descriptors.
+/// @param reserved the number of descriptors to leave free.
+/// @param socket set where connecting is in progress.
+ConnectStart start_connecting(const sockaddr_in& address, int limit, int reserved, Socket& socket);
+/// Listens on an address. Blocks up to 2 s while the address is in use, and up to 8 s while the system is
+/// short of memory, descriptors or buffers.
+/// @return what went wrong, or nullopt.
+std::optional<std::string> listen_on(const sockaddr_in& address, Socket& socket);
 
-// Whether an errno of a read or write says that the way to the peer is broken, while the peer may well live.
+/// Whether an errno of a read or write says that the network path to the peer is broken; the peer may be
+/// alive.
 bool is_path_broken(int error);
 
-// Whether an errno of socket, connect, accept or a file's call tells of this machine alone, and may pass.
+/// Whether an errno of socket, connect, accept or a call on a file is a transient failure of this machine
+/// alone.
 bool is_transient_local_error(int error);
 
 }  // namespace dapplewharf
--- a/src/wire/lines.cpp
+++ b/src/wire/lines.cpp
@@ -12,13 +12,13 @@
 namespace dapplewharf {
 namespace {
 
-constexpr std::size_t kMaxNameBytes = 64;  // of ids, keys and names of attributes
-constexpr std::size_t kMaxDigits = 16;     // of numbers
+constexpr std::size_t kMaxNameBytes = 64;    // of ids, keys and attribute names
+constexpr std::size_t kMaxNumberBytes = 16;  // of a number, in digits and its decimal point
 constexpr double kMinWaitMs = 1;
 constexpr double kMaxWaitMs = 1e8;
 constexpr int kHexadecimal = 16;
 
-std::string_view without_end(std::string_view line) {
+std::string_view trim_line_end(std::string_view line) {
   if (line.ends_with('\n')) {
     line.remove_suffix(1);
   }
@@ -28,8 +28,8 @@
   return line;
 }
 
-/// Hexadecimal digits as a number, anything else as its hash.
-std::int64_t whole_of(std::string_view word) {
+/// @return the value of hexadecimal digits, or the hash of any other text.
+std::int64_t number_or_hash(std::string_view word) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value, kHexadecimal);
   if (error != std::errc() || end != word.data() + word.size()) {
@@ -38,38 +38,42 @@
   return static_cast<std::int64_t>(value);
 }
 
-std::string_view first_word(std::string_view& rest) {
+/// Removes leading spaces and a word from `rest`.
+/// @return the word.
+std::string_view take_word_after_blanks(std::string_view& rest) {
   rest.remove_prefix(std::min(rest.find_first_not_of(' '), rest.size()));
   const std::string_view word = rest.substr(0, rest.find(' '));
   rest.remove_prefix(word.size());
   return word;
 }
 
-/// Takes a word and the one space behind it off `rest`.
-std::string_view next_word(std::string_view& rest) {
+/// Removes a word and the space after it from `rest`.
+/// @return the word.
+std::string_view take_word(std::string_view& rest) {
   const std::string_view word = rest.substr(0, rest.find(' '));
   rest.remove_prefix(std::min(word.size() + 1, rest.size()));
   return word;
 }
 
-/// Whether a word is not empty, not too long, and made of the allowed letters.
-bool only(std::string_view word, const char* allowed, std::size_t longest) {
-  return !word.empty() && word.size() <= longest && word.find_first_not_of(allowed) == std::string_view::npos;
+/// Whether a word consists of 1 to `max_bytes` of the allowed characters.
+bool has_only(std::string_view word, const char* allowed, std::size_t max_bytes) {
+  return !word.empty() && word.size() <= max_bytes &&
+         word.find_first_not_of(allowed) == std::string_view::npos;
 }
 
 bool is_hexadecimal(std::string_view word) {
-  return only(word, "0123456789abcdefABCDEF", kMaxDigits);
+  return has_only(word, "0123456789abcdefABCDEF", kMaxNumberBytes);
 }
 
-bool is_plain_figure(std::string_view word) {
-  return only(word, "0123456789.", kMaxDigits);
+bool is_decimal(std::string_view word) {
+  return has_only(word, "0123456789.", kMaxNumberBytes);
 }
 
 bool is_name(std::string_view word) {
-  return only(word, "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_-", kMaxNameBytes);
+  return has_only(word, "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_-", kMaxNameBytes);
 }
 
-std::optional<double> figure_of(std::string_view text) {
+std::optional<double> parse_decimal(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) {
@@ -78,22 +82,22 @@
   return value;
 }
 
-/// Takes the word OPEN, the id and the key off `rest`.
-/// @return what is wrong, empty if nothing is.
-std::string read_id_and_key(std::string_view& rest, RequestLine& to) {
-  if (next_word(rest) != "OPEN") {
-    return "no OPEN line";
-  }
-  const std::string_view id = next_word(rest);
-  const std::string_view key = next_word(rest);
+/// Parses the word OPEN, the id and the key, and removes them from `rest`.
+/// @return the error, empty if there is none.
+std::string read_id_and_key(std::string_view& rest, RequestLine& request) {
+  if (take_word(rest) != "OPEN") {
+    return "the line does not begin with OPEN";
+  }
+  const std::string_view id = take_word(rest);
+  const std::string_view key = take_word(rest);
   if (!is_name(id)) {
-    return "no id";
+    return "the id is missing or invalid";
   }
   if (!is_name(key)) {
-    return "no key";
+    return "the key is missing or invalid";
   }
-  to.id = id;
-  to.key = whole_of(key);
+  request.id = id;
+  request.key = number_or_hash(key);
   return "";
 }
 
@@ -103,8 +107,10 @@
   std::string_view value;
 };
 
-/// Takes one attribute and the comma behind it off `rest`; nothing where there is no "=" or no valid name.
-std::optional<Attribute> next_attribute(std::string_view& rest, bool& more) {
+/// Parses an attribute and removes it, with the comma after it, from `rest`.
+/// @param more set to whether another attribute follows.
+/// @return nullopt if the attribute has no "=" or no valid name.
+std::optional<Attribute> take_attribute(std::string_view& rest, bool& more) {
   const std::size_t comma = rest.find(',');
   more = comma != std::string_view::npos;
   const std::string_view entry = rest.substr(0, comma);
@@ -117,97 +123,99 @@
   return Attribute{name, entry.substr(equals + 1)};
 }
 
-std::string read_flag(std::string_view value, bool& to) {
+std::string read_flag(std::string_view value, bool& flag) {
   if (value != "0" && value != "1") {
-    return "neither 0 nor 1";
+    return "a flag is neither 0 nor 1";
   }
-  to = value == "1";
+  flag = value == "1";
   return "";
 }
 
-std::string read_group(std::string_view value, RequestLine& to) {
+std::string read_group(std::string_view value, RequestLine& request) {
   if (!is_hexadecimal(value)) {
-    return "no group";
+    return "g is not a hexadecimal number";
   }
-  to.group = whole_of(value);
+  request.group = number_or_hash(value);
   return "";
 }
 
-std::string read_wait(std::string_view value, std::string_view line, RequestLine& to) {
-  const std::optional<double> ms = figure_of(value);
-  if (!is_plain_figure(value) || !ms || !(*ms >= kMinWaitMs && *ms <= kMaxWaitMs)) {
-    return "no figure for d";
-  }
-  to.wait = ticks_of_ms(*ms);
-  to.wait_offset = static_cast<std::size_t>(value.data() - line.data());
-  to.wait_length = value.size();
+std::string read_wait(std::string_view value, std::string_view line, RequestLine& request) {
+  const std::optional<double> ms = parse_decimal(value);
+  if (!is_decimal(value) || !ms || !(*ms >= kMinWaitMs && *ms <= kMaxWaitMs)) {
+    return "d is not a number of milliseconds from 1 to 1e8";
+  }
+  request.wait = ticks_of_ms(*ms);
+  request.wait_offset = static_cast<std::size_t>(value.data() - line.data());
+  request.wait_length = value.size();
   return "";
 }
 
-/// Takes over one attribute; those that are not known are passed on unread.
-/// @param line the whole line that the attribute is a part of.
-/// @return what is wrong, empty if nothing is.
-std::string read_attribute(const Attribute& attribute, std::string_view line, RequestLine& to) {
+/// Stores an attribute in `request`. Unknown attributes are not checked; the endpoint receives them
+/// unchanged.
+/// @param line the whole request line.
+/// @return the error, empty if there is none.
+std::string read_attribute(const Attribute& attribute, std::string_view line, RequestLine& request) {
   const auto& [name, value] = attribute;
   if (value.empty() || value.find_first_of(" =") != std::string_view::npos) {
-    return "no value";
+    return "an attribute has no valid value";
   }
   if (name == "c") {
-    to.traffic_type = value;
+    request.traffic_type = value;
   }
   if (name == "t") {
-    to.tenant = value;
+    request.tenant = value;
   }
   if (name == "at") {
-    to.current_endpoint = value;
+    request.current_endpoint = value;
   }
   if (name == "g") {
-    return read_group(value, to);
+    return read_group(value, request);
   }
   if (name == "r") {
-    return read_flag(value, to.is_retry);
+    return read_flag(value, request.is_retry);
   }
   if (name == "again") {
-    return read_flag(value, to.is_migrated);
+    return read_flag(value, request.is_migrated);
   }
   if (name == "d") {
-    return read_wait(value, line, to);
+    return read_wait(value, line, request);
   }
   return "";
 }
 
-std::string read_attributes(std::string_view rest, std::string_view line, RequestLine& to) {
+std::string read_attributes(std::string_view rest, std::string_view line, RequestLine& request) {
   std::set<std::string_view> names;
   for (bool more = !rest.empty(); more;) {
-    const std::optional<Attribute> attribute = next_attribute(rest, more);
+    const std::optional<Attribute> attribute = take_attribute(rest, more);
     if (!attribute) {
-      return "no name and value";
+      return "an attribute is not of the form NAME=VALUE";
     }
     if (!names.insert(attribute->name).second) {
-      return "a name twice";
+      return "an attribute occurs twice";
     }
-    if (std::string error = read_attribute(*attribute, line, to); !error.empty()) {
+    if (std::string error = read_attribute(*attribute, line, request); !error.empty()) {
       return error;
     }
   }
   return "";
 }
 
-/// What the settings do not allow in a request line, empty if nothing.
+/// Checks a request line against the settings.
+/// @return the error, empty if there is none.
 std::string schema_error(const RequestLine& request, const RequestSchema& schema) {
   const auto type = schema.traffic.find(request.traffic_type);
   if (type == schema.traffic.end()) {
-    return "no c that the settings know";
+    return "c is missing or no traffic type of the settings";
   }
   if (!schema.tenants.empty() && !schema.tenants.count(request.tenant)) {
-    return "no t that the settings know";
+    return "t is missing or no tenant of the settings";
   }
   if (request.wait == 0) {
-    return "no d";
+    return "d is missing";
   }
-  // A request that stands at an endpoint already also waits for as long as this node takes to start.
+  // A request that reconnects to its endpoint may wait longer, as its wait includes the start of this node.
   if (request.current_endpoint.empty() && request.wait > type->second) {
-    return "a d beyond the expiry";
+    return "d is longer than the expiry of the traffic type";
   }
   return "";
 }
@@ -216,23 +224,24 @@
   return std::all_of(text.begin(), text.end(), [](char byte) { return byte >= ' ' && byte <= '~'; });
 }
 
-/// @return what is wrong, empty if nothing is.
-std::string read_request_line(std::string_view line, const RequestSchema& schema, RequestLine& to) {
+/// @return the error, empty if there is none.
+std::string read_request_line(std::string_view line, const RequestSchema& schema, RequestLine& request) {
   if (!line.ends_with("\r\n")) {
-    return "no end of line";
+    return "the line does not end with CRLF";
   }
-  std::string_view rest = without_end(line);
-  // An endpoint closes a connection on bytes that it cannot read, with all requests that wait on it.
+  std::string_view rest = trim_line_end(line);
+  // An endpoint that receives bytes it cannot parse closes the connection, and all requests that wait on it
+  // fail.
   if (!is_printable(rest)) {
-    return "bytes that are no text";
+    return "the line contains bytes other than printable ASCII";
   }
-  if (std::string error = read_id_and_key(rest, to); !error.empty()) {
+  if (std::string error = read_id_and_key(rest, request); !error.empty()) {
     return error;
   }
-  if (std::string error = read_attributes(rest, line, to); !error.empty()) {
+  if (std::string error = read_attributes(rest, line, request); !error.empty()) {
     return error;
   }
-  return schema_error(to, schema);
+  return schema_error(request, schema);
 }
 
 }  // namespace
@@ -254,8 +263,8 @@
 }
 
 LineType line_type_of(std::string_view line) {
-  std::string_view rest = without_end(line);
-  const std::string_view word = first_word(rest);
+  std::string_view rest = trim_line_end(line);
+  const std::string_view word = take_word_after_blanks(rest);
   if (word == "UP") {
     return LineType::up;
   }
@@ -284,9 +293,9 @@
 }
 
 double parse_load(std::string_view line) {
-  std::string_view rest = without_end(line);
-  first_word(rest);
-  return figure_of(first_word(rest)).value_or(-1);
+  std::string_view rest = trim_line_end(line);
+  take_word_after_blanks(rest);
+  return parse_decimal(take_word_after_blanks(rest)).value_or(-1);
 }
 
 }  // namespace dapplewharf
--- a/src/wire/lines.h
+++ b/src/wire/lines.h
@@ -1,5 +1,6 @@
-// The lines of the platform's protocol: bytes to values and back. Pure; owns no bytes and no sockets, and
-// never decides what a line leads to. The platform's names for things end here.
+// Parses and formats the lines of the platform's protocol between clients, nodes and endpoints. The functions
+// do no I/O. The short attribute names of the protocol are used only here; the rest of the node uses the
+// fields of RequestLine.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,47 +13,48 @@
 
 namespace dapplewharf {
 
-constexpr std::size_t kMaxLineBytes = 4096;  // bytes
+/// The longest line that is accepted, with its end.
+constexpr std::size_t kMaxLineBytes = 4096;
 
-/// A client's first line, OPEN: the bytes, and what decisions need of them.
+/// The request line of a client, OPEN: its bytes, and the fields that are parsed from them.
 struct RequestLine {
-  std::string line;  // with its end
+  std::string line;  // as received, with its end
   std::string id;
   std::string traffic_type;
   std::string tenant;
-  std::string current_endpoint;       // the endpoint where the connection stands already; empty: none
+  std::string current_endpoint;       // the endpoint that already has the connection; empty: none
   std::optional<std::int64_t> key;    // session affinity key
   std::optional<std::int64_t> group;  // affinity group
-  Duration wait = 0;                  // how long the client waits, from when it sent the line
-  bool is_retry = false;              // the client repeats the request by itself
-  bool is_migrated = false;           // the client comes back after a migration or a break
-  std::size_t wait_offset = 0;        // offset of the digits of `d` in the line
-  std::size_t wait_length = 0;        // how many they are
+  Duration wait = 0;                  // how long the client waits for the answer, since it sent the line
+  bool is_retry = false;              // the client retries a request that failed
+  bool is_migrated = false;           // the client reconnects after a migration or a lost connection
+  std::size_t wait_offset = 0;        // offset of the value of `d` in the line
+  std::size_t wait_length = 0;        // length of that value, in bytes
 };
 
-/// What a first line may name, according to the settings.
+/// The values that the settings allow in a request line.
 struct RequestSchema {
-  std::map<std::string, Duration> traffic;  // by type: the longest that a client waits
-  std::set<std::string> tenants;            // empty: none are told
+  std::map<std::string, Duration> traffic;  // the longest wait of a client, by traffic type
+  std::set<std::string> tenants;            // empty: any, or none
 };
 
-/// A parsed first line, or why it cannot be used.
+/// A parsed request line, or the reason why it is rejected.
 struct ParsedRequestLine {
   std::optional<RequestLine> request_line;
-  std::string error;  // what is wrong, where there is none
+  std::string error;  // why there is no request line
 };
 
-/// Parses a complete first line, with its end.
+/// Parses a complete request line, with its end.
 [[nodiscard]] ParsedRequestLine parse_request_line(std::string_view line, const RequestSchema& schema);
 
-/// The line with another time to wait, rounded down to whole ms and at least 1 ms.
+/// @return the request line with another wait, rounded down to whole milliseconds, at least 1 ms.
 [[nodiscard]] std::string with_wait(const RequestLine& request, Duration wait);
 
-/// The first word of an endpoint's line.
+/// The type of a line from an endpoint, given by its first word.
 enum class LineType { up, busy, error, bye, move, load, pong, no, other };
 [[nodiscard]] LineType line_type_of(std::string_view line);
 
-/// The figure of a LOAD line; below 0 if there is none.
+/// @return the value of a LOAD line, or a negative number if it has none.
 [[nodiscard]] double parse_load(std::string_view line);
 
 }  // namespace dapplewharf
--- a/tests/base/counters_test.cpp
+++ b/tests/base/counters_test.cpp
@@ -1,4 +1,4 @@
-// The names of counters: each once, and the former ones in the line of before.
+// The names of the counters, and the output with the former names.
 #include "base/counters.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 
 using namespace dapplewharf;
 
-TEST(Counters, EachHasOneNameAndAMeaning) {
+TEST(Counters, EachHasAUniqueNameAndADescription) {
   std::set<std::string> names;
   for (const CounterDescription& counter : kCounterTable) {
     EXPECT_TRUE(names.insert(counter.name).second) << counter.name;
@@ -20,10 +20,10 @@
         std::string::npos);
   }
   EXPECT_EQ(sizeof(Counters), kCounterTable.size() * sizeof(std::uint64_t))
-      << "a counter is not in the table";
+      << "a counter is missing from kCounterTable";
 }
 
-TEST(Counters, TheLineWithFormerNamesIsAsBefore) {
+TEST(Counters, TheLineWithFormerNamesKeepsItsForm) {
   EXPECT_EQ(Counters().format_with_former_names(),
             "counters taken-in accepted=0 greeted=0 attachments=0 handed-over=0 malformed=0 evicted=0 "
             "lists=0 lists-lost=0 reloads=0 reloads-refused=0"
--- a/tests/base/retry_test.cpp
+++ b/tests/base/retry_test.cpp
@@ -1,23 +1,23 @@
-// Steps that are run again.
+// Retries of an operation that fails.
 #include "base/retry.h"
 
 #include <gtest/gtest.h>
 
 using namespace dapplewharf;
 
-TEST(Retry, RunsAStepUntilItSucceedsFailsOrHasHadAllItsAttempts) {
-  int runs = 0;
-  const auto until = [&](StepResult last) {
-    runs = 0;
+TEST(Retry, StopsAtSuccessAtFailureOrAfterTheLastAttempt) {
+  int attempts = 0;
+  const auto succeeds_if_second_attempt_gives = [&](StepResult second_result) {
+    attempts = 0;
     return retry_blocking({.max_attempts = 3}, [&](int attempt) {
-      EXPECT_EQ(attempt, ++runs);
-      return attempt == 2 ? last : StepResult::retry;
+      EXPECT_EQ(attempt, ++attempts);
+      return attempt == 2 ? second_result : StepResult::retry;
     });
   };
-  EXPECT_TRUE(until(StepResult::succeeded));
-  EXPECT_EQ(runs, 2);
-  EXPECT_FALSE(until(StepResult::failed));
-  EXPECT_EQ(runs, 2);
-  EXPECT_FALSE(until(StepResult::retry));
-  EXPECT_EQ(runs, 3);
+  EXPECT_TRUE(succeeds_if_second_attempt_gives(StepResult::succeeded));
+  EXPECT_EQ(attempts, 2);
+  EXPECT_FALSE(succeeds_if_second_attempt_gives(StepResult::failed));
+  EXPECT_EQ(attempts, 2);
+  EXPECT_FALSE(succeeds_if_second_attempt_gives(StepResult::retry));
+  EXPECT_EQ(attempts, 3);
 }
--- a/tests/base/slot_map_test.cpp
+++ b/tests/base/slot_map_test.cpp
@@ -1,4 +1,4 @@
-// Handles of slots that have been reused.
+// Handles whose slots have been reused.
 #include "base/slot_map.h"
 
 #include <gtest/gtest.h>
@@ -6,12 +6,12 @@
 using namespace dapplewharf;
 
 TEST(SlotMap, AStaleHandleNeverFindsAReusedSlot) {
-  SlotMap<int> table;
-  const Handle first = table.insert(1);
-  table.erase(first);
-  const Handle second = table.insert(2);
+  SlotMap<int> slots;
+  const Handle first = slots.insert(1);
+  slots.erase(first);
+  const Handle second = slots.insert(2);
   EXPECT_EQ(first.slot, second.slot);
-  EXPECT_EQ(table.find(first), nullptr);
-  table.erase(first);
-  EXPECT_EQ(*table.find(second), 2);
+  EXPECT_EQ(slots.find(first), nullptr);
+  slots.erase(first);
+  EXPECT_EQ(*slots.find(second), 2);
 }
