--- a/src/base/event_loop.cpp
+++ b/src/base/event_loop.cpp
@@ -7,6 +7,8 @@
 #include <chrono>
 #include <thread>
 
+#include "base/log_events.h"
+
 namespace dapplewharf {
 namespace {
 
@@ -63,7 +65,7 @@
   try {
     callback();
   } catch (const std::exception& error) {
-    spdlog::error("fault contained: {}", error.what());
+    spdlog::error("{}: {}", kFaultContainedEvent, error.what());
   }
 }
 
