--- a/src/emulator/model/host.cpp
+++ b/src/emulator/model/host.cpp
@@ -6,15 +6,15 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Duration kStep = 20 * kMs;  // while a host warms up its speed is held for so long
-constexpr Duration kFar = 3600 * kSecond;
-constexpr double kLeastRoom = 0.04;  // a host that is full takes 25 times as long for a message
-constexpr double kSetups = 0.15;     // of a host that set-ups have even when it is full
-constexpr double kCrowded = 0.05;    // s of set-ups that wait: messages take twice as long beside them
-constexpr double kChance = 2;        // connections of slack on the limit of a cold host
+constexpr Duration kWarmUpStep = 20 * kMs;  // while a process warms up, its capacity is constant in each step
+constexpr Duration kIdleInterval = 3600 * kSecond;
+constexpr double kMinFreeShare = 0.04;   // a message on a full host takes 25 times as long as on an idle one
+constexpr double kMinSetupShare = 0.15;  // of the capacity, available to setups even on a full host
+constexpr double kDoublingSetupDelayS = 0.05;  // messages take twice as long while setups wait for so long
+constexpr double kColdArrivalSlack = 2;        // setups that a cold process survives beyond its limit
 
-double seconds(Duration span) {
-  return static_cast<double>(span) / kSecond;
+double seconds(Duration duration) {
+  return static_cast<double>(duration) / kSecond;
 }
 
 }  // namespace
@@ -22,34 +22,35 @@
 HostModel::HostModel(const Scenario& scenario, const Plan& plan, const PlannedHost& planned)
     : cores_(planned.cores),
       speed_(planned.speed),
-      per_core_(scenario.connections_per_core),
-      cold_from_(scenario.cold_capacity_share),
+      connections_per_core_(scenario.connections_per_core),
+      cold_capacity_share_(scenario.cold_capacity_share),
       message_s_(scenario.message_service_ms / 1000),
-      probe_s_(scenario.health_check_work_ms / 1000),
-      group_work_(scenario.group_overhead * plan.mean_load / scenario.connections_per_core),
-      fall_multiple_(scenario.cold_failure_multiple),
+      health_check_s_(scenario.health_check_work_ms / 1000),
+      work_per_group_(scenario.group_overhead * plan.mean_load / scenario.connections_per_core),
+      cold_failure_multiple_(scenario.cold_failure_multiple),
       full_connections_(planned.cores * planned.speed * scenario.connections_per_core / plan.mean_load),
-      queue_most_(static_cast<std::size_t>(scenario.max_queued_setups)),
-      cold_time_(static_cast<Duration>(scenario.warm_up_s * kSecond)),
-      fall_time_(static_cast<Duration>(scenario.cold_failure_window_ms * kMs)) {}
+      max_queued_setups_(static_cast<std::size_t>(scenario.max_queued_setups)),
+      warm_up_time_(static_cast<Duration>(scenario.warm_up_s * kSecond)),
+      cold_failure_window_(static_cast<Duration>(scenario.cold_failure_window_ms * kMs)) {}
 
 void HostModel::start(TimePoint now, bool is_cold) {
   now_ = now;
   started_ = is_cold ? now : -1;
-  load_ = piled_ = groups_held_ = 0;
-  come_ = done_ = 0;
-  groups_.clear(), queue_.clear(), pushes_.clear();
+  load_ = backlog_ = held_groups_ = 0;
+  setup_work_added_ = setup_work_done_ = 0;
+  connections_by_group_.clear(), queue_.clear(), cold_arrivals_.clear();
 }
 
 bool HostModel::is_cold() const {
-  return started_ >= 0 && now_ - started_ < cold_time_;
+  return started_ >= 0 && now_ - started_ < warm_up_time_;
 }
 
 double HostModel::warm_up_factor() const {
   if (!is_cold()) {
     return 1;
   }
-  return cold_from_ + (1 - cold_from_) * seconds(now_ - started_) / seconds(cold_time_);
+  return cold_capacity_share_ +
+         (1 - cold_capacity_share_) * seconds(now_ - started_) / seconds(warm_up_time_);
 }
 
 double HostModel::capacity() const {
@@ -58,63 +59,64 @@
 
 void HostModel::advance(TimePoint now) {
   while (now_ < now) {
-    step(is_cold() ? std::min(now, now_ + kStep) : now);
+    advance_step(is_cold() ? std::min(now, now_ + kWarmUpStep) : now);
   }
 }
 
-double HostModel::left() const {
-  return std::max(kSetups * capacity(), capacity() - load());
+double HostModel::setup_capacity() const {
+  return std::max(kMinSetupShare * capacity(), capacity() - load());
 }
 
-void HostModel::step(TimePoint to) {
-  const double span = seconds(to - now_);
-  const double set_up = std::min(come_ - done_, left() * span);
-  done_ += set_up;
-  piled_ = std::max(0.0, piled_ + (load() - capacity()) * span + set_up);
+void HostModel::advance_step(TimePoint to) {
+  const double span_s = seconds(to - now_);
+  const double setup_work = std::min(setup_work_added_ - setup_work_done_, setup_capacity() * span_s);
+  setup_work_done_ += setup_work;
+  backlog_ = std::max(0.0, backlog_ + (load() - capacity()) * span_s + setup_work);
   now_ = to;
 }
 
 HostModel::SetupId HostModel::add_setup(double work) {
-  come_ += work;
-  queue_.push_back({++numbers_, come_});
-  return numbers_;
+  setup_work_added_ += work;
+  queue_.push_back({++last_setup_, setup_work_added_});
+  return last_setup_;
 }
 
 std::vector<HostModel::SetupId> HostModel::take_completed_setups() {
   std::vector<SetupId> out;
-  for (; !queue_.empty() && queue_.front().until <= done_ + 1e-9; queue_.pop_front()) {
-    out.push_back(queue_.front().number);
+  for (; !queue_.empty() && queue_.front().completed_at <= setup_work_done_ + 1e-9; queue_.pop_front()) {
+    out.push_back(queue_.front().id);
   }
   return out;
 }
 
-void HostModel::cancel_setup(SetupId work) {
-  std::erase_if(queue_, [&](const Waiting& one) { return one.number == work; });
+void HostModel::cancel_setup(SetupId setup) {
+  std::erase_if(queue_, [&](const QueuedSetup& queued) { return queued.id == setup; });
   if (queue_.empty()) {
-    come_ = done_;  // what nobody waits for is not begun
+    setup_work_added_ = setup_work_done_;  // an abandoned setup takes no more work
   }
 }
 
 TimePoint HostModel::next_advance() const {
   if (queue_.empty()) {
-    return now_ + kFar;
+    return now_ + kIdleInterval;
   }
-  const double wanted = std::max(0.0, queue_.front().until - done_) / std::max(left(), 1e-6);
-  const auto wait = static_cast<Duration>(std::ceil(std::min(wanted, 60.0) * kSecond));
-  return now_ + std::max<Duration>(1, is_cold() ? std::min(wait, kStep) : wait);
+  const double wait_s =
+      std::max(0.0, queue_.front().completed_at - setup_work_done_) / std::max(setup_capacity(), 1e-6);
+  const auto wait = static_cast<Duration>(std::ceil(std::min(wait_s, 60.0) * kSecond));
+  return now_ + std::max<Duration>(1, is_cold() ? std::min(wait, kWarmUpStep) : wait);
 }
 
 void HostModel::add_connection(double load, int group) {
-  load_ += load / per_core_;
-  if (group >= 0 && ++groups_[group] == 1) {
-    ++groups_held_;
+  load_ += load / connections_per_core_;
+  if (group >= 0 && ++connections_by_group_[group] == 1) {
+    ++held_groups_;
   }
 }
 
 void HostModel::remove_connection(double load, int group) {
-  load_ = std::max(0.0, load_ - load / per_core_);
-  if (group >= 0 && --groups_[group] == 0) {
-    groups_.erase(group), --groups_held_;
+  load_ = std::max(0.0, load_ - load / connections_per_core_);
+  if (group >= 0 && --connections_by_group_[group] == 0) {
+    connections_by_group_.erase(group), --held_groups_;
   }
 }
 
@@ -122,37 +124,37 @@
   if (!is_cold()) {
     return 0;
   }
-  pushes_.push_back(now_);
-  while (now_ - pushes_.front() >= fall_time_) {
-    pushes_.pop_front();
+  cold_arrivals_.push_back(now_);
+  while (now_ - cold_arrivals_.front() >= cold_failure_window_) {
+    cold_arrivals_.pop_front();
   }
-  const double limit =
-      fall_multiple_ * warm_up_factor() * full_connections_ * seconds(fall_time_) / seconds(cold_time_);
-  return static_cast<double>(pushes_.size()) / (limit + kChance);
+  const double limit = cold_failure_multiple_ * warm_up_factor() * full_connections_ *
+                       seconds(cold_failure_window_) / seconds(warm_up_time_);
+  return static_cast<double>(cold_arrivals_.size()) / (limit + kColdArrivalSlack);
 }
 
 double HostModel::backlog_s() const {
-  return piled_ / std::max(capacity(), 1e-6);
+  return backlog_ / std::max(capacity(), 1e-6);
 }
 
-// How much longer than on an idle core of speed 1 anything takes.
-double HostModel::stretch() const {
-  const double room = std::max(kLeastRoom, 1 - load() / std::max(capacity(), 1e-6));
-  const double pace = speed_ * warm_up_factor() * (1 - neighbour_share) / slowdown;
-  const double waiting = (come_ - done_) / std::max(left(), 1e-6);
-  return (1 + std::min(1.0, waiting / kCrowded)) / std::max(pace, 1e-6) / room;
+// How many times longer than on an idle core of speed 1 a message or health check takes.
+double HostModel::service_time_factor() const {
+  const double free_share = std::max(kMinFreeShare, 1 - load() / std::max(capacity(), 1e-6));
+  const double core_speed = speed_ * warm_up_factor() * (1 - neighbour_share) / slowdown;
+  const double setup_delay_s = (setup_work_added_ - setup_work_done_) / std::max(setup_capacity(), 1e-6);
+  return (1 + std::min(1.0, setup_delay_s / kDoublingSetupDelayS)) / std::max(core_speed, 1e-6) / free_share;
 }
 
 double HostModel::mean_service_ms() const {
-  return 1000 * message_s_ * stretch();
+  return 1000 * message_s_ * service_time_factor();
 }
 double HostModel::health_check_ms() const {
-  return 1000 * (probe_s_ * stretch() + backlog_s());
+  return 1000 * (health_check_s_ * service_time_factor() + backlog_s());
 }
 
 double HostModel::share_within(double goal_ms) const {
-  const double left = goal_ms - 1000 * backlog_s();
-  return left <= 0 ? 0 : 1 - std::exp(-left / mean_service_ms());
+  const double time_left_ms = goal_ms - 1000 * backlog_s();
+  return time_left_ms <= 0 ? 0 : 1 - std::exp(-time_left_ms / mean_service_ms());
 }
 
 double HostModel::delay_quantile_ms(double share) const {
--- a/src/emulator/model/host.h
+++ b/src/emulator/model/host.h
@@ -1,6 +1,7 @@
-// A host as both drivers play it: work that is piled up and done in turn, warm-up, falling over, the time
-// that a message takes. Owns its queue and its load, in the driver's time; knows no sockets and no events.
-// Work is in seconds of a core of speed 1.
+// The performance model of an endpoint's host, which simulated and live runs share: queued connection setups,
+// the backlog of message work, the warm-up of a fresh process, its failure under too many setups while it is
+// cold, and the latency of messages. It owns its setup queue and its load; it has no sockets and no events,
+// and gets the time from its caller. Work is in seconds of a core of speed 1.
 #pragma once
 #include <deque>
 #include <map>
@@ -11,67 +12,103 @@
 
 namespace dapplewharf::emulator {
 
-/// What is left of an endpoint's process or machine.
+/// The condition of an endpoint's process or machine.
 enum class EndpointCondition {
   up,
-  silent,    // accepts and reads nothing, and holds its connections
-  vanished,  // its machine is gone; nothing answers
-  down       // its process has ended; connections are reset
+  silent,    ///< accepts connections and keeps them open, but reads nothing
+  vanished,  ///< its machine is gone; nothing answers
+  down       ///< its process has ended; connections are reset
 };
 
 class HostModel {
  public:
   HostModel(const Scenario& scenario, const Plan& plan, const PlannedHost& planned);
 
-  void start(TimePoint now, bool cold);  // a fresh process: nothing held
+  /// Starts a fresh process, without connections and setups.
+  /// @param is_cold whether it still has to warm up.
+  void start(TimePoint now, bool is_cold);
+  /// Does the work that is possible until `now`.
   void advance(TimePoint now);
 
-  using SetupId = std::uint64_t;  // a set-up
-  bool is_setup_queue_full() const { return queue_.size() >= queue_most_; }
-  SetupId add_setup(double work);                // in turn behind those that wait
-  std::vector<SetupId> take_completed_setups();  // that have come out since the last call
-  void cancel_setup(SetupId work);               // nobody waits for it any more
-  TimePoint next_advance() const;                // when to look again; far away if nothing is in the queue
+  /// Identifies a queued connection setup.
+  using SetupId = std::uint64_t;
+  bool is_setup_queue_full() const { return queue_.size() >= max_queued_setups_; }
+  /// Queues a connection setup behind those that wait.
+  /// @param work in seconds of a core of speed 1.
+  SetupId add_setup(double work);
+  /// @return the setups that have been completed since the last call, in order.
+  std::vector<SetupId> take_completed_setups();
+  /// Removes a setup that is no longer needed.
+  void cancel_setup(SetupId setup);
+  /// When `advance` has to be called next for the setup queue; an hour from now if the queue is empty.
+  TimePoint next_advance() const;
 
+  /// Counts an established connection.
+  /// @param load in mean connections.
+  /// @param group the affinity group, or -1 for none.
   void add_connection(double load, int group);
   void remove_connection(double load, int group);
-  void change_load(double by) { load_ += by / per_core_; }
+  /// Changes the load of an established connection.
+  /// @param change in mean connections.
+  void change_load(double change) { load_ += change / connections_per_core_; }
 
-  // New work has come; its share of what pushes a cold host over, from 0. Over 1 it falls.
+  /// Records that a setup has arrived, if the process is cold.
+  /// @return the setups within the failure window over the number that a cold process survives, where more
+  /// than 1 means that the process fails; 0 for a warm process.
   double record_setup_arrival();
   bool is_cold() const;
+  /// The share of its capacity that the process has by now, from 0 to 1.
   double warm_up_factor() const;
-  double capacity() const;  // cores of speed 1, as of now
-  double load() const { return load_ + groups_held_ * group_work_; }
-  double backlog_s() const;                      // that messages wait for what lies before them
-  double health_check_ms() const;                // that a probe takes now
-  double mean_service_ms() const;                // mean of a message's own time
-  double share_within(double goal_ms) const;     // share of messages
-  double delay_quantile_ms(double share) const;  // below which that share of messages stays
+  /// In cores of speed 1, under the present faults.
+  double capacity() const;
+  /// The work that connections cause, in cores of speed 1.
+  double load() const { return load_ + held_groups_ * work_per_group_; }
+  /// How long messages wait for the work before them, in seconds.
+  double backlog_s() const;
+  /// The response time of a health check now.
+  double health_check_ms() const;
+  /// The mean time of a message, without the backlog before it.
+  double mean_service_ms() const;
+  /// The share of messages that are answered within a time.
+  double share_within(double goal_ms) const;
+  /// The delay that a share of the messages does not exceed.
+  double delay_quantile_ms(double share) const;
 
-  double slowdown = 1, neighbour_share = 0;  // faults: times slower; share that another program takes
+  double slowdown = 1;         ///< by faults: the factor by which the cores are slower
+  double neighbour_share = 0;  ///< by faults: the share of the cores that another program uses
 
  private:
-  void step(TimePoint to);
-  double stretch() const;
-  double left() const;  // of its capacity for set-ups
+  void advance_step(TimePoint to);
+  double service_time_factor() const;
+  double setup_capacity() const;
 
-  double cores_, speed_, per_core_, cold_from_, message_s_, probe_s_, group_work_, fall_multiple_,
-      full_connections_;
-  std::size_t queue_most_;
-  Duration cold_time_, fall_time_;
-  TimePoint now_ = 0, started_ = -1;  // started_ below 0: long ago
-  double load_ = 0, piled_ = 0;       // work of connections that should have been done by now
-  double come_ = 0, done_ = 0;        // all work of set-ups
-  std::map<int, int> groups_;
-  double groups_held_ = 0;
-  struct Waiting {
-    SetupId number;
-    double until;  // of done_
+  double cores_;
+  double speed_;
+  double connections_per_core_;
+  double cold_capacity_share_;
+  double message_s_;
+  double health_check_s_;
+  double work_per_group_;
+  double cold_failure_multiple_;
+  double full_connections_;  // of mean load, that fill the host
+  std::size_t max_queued_setups_;
+  Duration warm_up_time_;
+  Duration cold_failure_window_;
+  TimePoint now_ = 0;
+  TimePoint started_ = -1;       // below 0: long ago, so that the process is warm
+  double load_ = 0;              // of connections, without the overhead of groups
+  double backlog_ = 0;           // work of connections that is overdue
+  double setup_work_added_ = 0;  // since the start
+  double setup_work_done_ = 0;   // since the start
+  std::map<int, int> connections_by_group_;
+  double held_groups_ = 0;
+  struct QueuedSetup {
+    SetupId id;
+    double completed_at;  // the value of setup_work_done_ at which it is complete
   };
-  std::deque<Waiting> queue_;
-  SetupId numbers_ = 0;
-  std::deque<TimePoint> pushes_;
+  std::deque<QueuedSetup> queue_;
+  SetupId last_setup_ = 0;
+  std::deque<TimePoint> cold_arrivals_;  // of setups within the failure window
 };
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/model/scenario.h
+++ b/src/emulator/model/scenario.h
@@ -1,6 +1,7 @@
-// A scenario: what a deployment is made of and what goes wrong, as plain values, read from TOML and checked
-// whole. Owns the one table of settings that reading, `--vary` and the reference page share; never draws
-// anything. Units: `_s` seconds, `_ms` milliseconds of a scenario's time; shares run from 0 to 1.
+// A scenario: the deployment, its clients and the faults of a run, as values that are read from a TOML file
+// and validated. One table of settings serves reading, overrides by name and the reference page. Nothing is
+// drawn here. Names that end in _s are in seconds and in _ms in milliseconds of the run; shares are from 0
+// to 1.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,64 +11,85 @@
 
 namespace dapplewharf::emulator {
 
-struct SourcePosition {  // in a scenario's file; line 0: nowhere
+/// A position in a scenario's file, counted from 1; line 0: unknown.
+struct SourcePosition {
   std::uint32_t line = 0, column = 0;
 };
 
-// Faults in input. what() is one line: FILE:LINE:COLUMN: what is wrong; what is expected.
+/// An error in the input. what() is one line: FILE:LINE:COLUMN: what is wrong; expected ...
 struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-struct HostKind {  // of hosts
+/// A machine type.
+struct HostKind {
   std::string name;
-  double share = 1, cores = 2, speed = 1;
+  double share = 1;  ///< of the hosts, relative to the other kinds
+  double cores = 2;
+  double speed = 1;  ///< of a core
 };
 
 struct TrafficType {
-  std::string name, effect = "idempotent", repeat_group = "all";
-  double share = 1, latency_goal_ms = 800, expiry_ms = 3000, message_goal_ms = 100, value = 1, load = 1,
-         mean_lifetime_s = 60, setup_ms = 8, repeat_window_ms = 5000;
+  std::string name;
+  std::string effect = "idempotent";  ///< of a connection setup: idempotent, deduplicated or unrepeatable
+  std::string repeat_group = "all";   ///< the endpoints that deduplicate a setup together: all, zone or cell
+  double share = 1;                   ///< of the clients, relative to the other types
+  double latency_goal_ms = 800;       ///< for establishing a connection
+  double expiry_ms = 3000;            ///< the deadline of a request
+  double message_goal_ms = 100;       ///< for a message and its answer
+  double value = 1;                   ///< of a second of good service
+  double load = 1;                    ///< mean load of a connection
+  double mean_lifetime_s = 60;        ///< of a connection, exponentially distributed
+  double setup_ms = 8;                ///< mean work of a connection setup, on a core of speed 1
+  double repeat_window_ms = 5000;     ///< for how long endpoints deduplicate a setup
 };
 
 struct Tenant {
   std::string name;
-  double share = 1;
+  double share = 1;  ///< of the capacity that is granted to it, and of the clients
 };
 
 enum class FaultKind {
-  silent,
-  slow,
-  failing,
-  hang,
-  vanish,
-  restart,
-  drain,
-  neighbour,
-  reset,
-  disconnect,
-  burst,
-  scale_out,
-  list_stale,
-  list_down,
-  node_killed,
-  node_restarted,
-  node_reload,
-  zone_cut,
-  one_way,
-  quiet_period,
-  surge
+  silent,          ///< endpoints accept connections but read nothing
+  slow,            ///< cores of hosts are slower by the factor `magnitude`
+  failing,         ///< endpoints answer a share of the requests with an error
+  hang,            ///< endpoints begin no setup
+  vanish,          ///< hosts stop answering, and return with a fresh process
+  restart,         ///< endpoints exit and return with a fresh process
+  drain,           ///< endpoints send their clients away, then restart
+  neighbour,       ///< another program uses a share of the hosts' cores, on and off
+  reset,           ///< endpoints reset a share of the requests
+  disconnect,      ///< stored as drop: a share of the clients lose their connections
+  burst,           ///< clients arrive faster by the factor `magnitude`
+  scale_out,       ///< stored as grow: more hosts join
+  list_stale,      ///< the endpoint list service learns of changes later
+  list_down,       ///< the endpoint list service does not answer
+  node_killed,     ///< nodes end without warning and are restarted
+  node_restarted,  ///< nodes are told to stop and are restarted
+  node_reload,     ///< nodes reload their configuration
+  zone_cut,        ///< no packets between two zones
+  one_way,         ///< packets from the endpoints of one zone to the nodes of another are lost
+  quiet_period,    ///< stored as hush: no client arrives and none leaves
+  surge            ///< stored as crowd: to each node so many connections are opened that stay silent
 };
 
 struct Fault {
   FaultKind kind = FaultKind::slow;
-  std::string name;  // of its kind
-  double start_s = 0, duration_s = 5, share = 0, magnitude = 0, interval_s = 0;
-  std::vector<int> hosts, nodes;  // by number, from 0
-  std::string from_zone, to_zone, drain_pace = "at_once";
+  std::string name;  ///< the stored name of the kind
+  double start_s = 0;
+  double duration_s = 5;
+  double share = 0;        ///< of the hosts or nodes that are affected, if none are named
+  double magnitude = 0;    ///< its meaning depends on the kind
+  double interval_s = 0;   ///< neighbour: of on and off; drain: between the hosts
+  std::vector<int> hosts;  ///< affected ones, by index
+  std::vector<int> nodes;  ///< affected ones, by index
+  std::string from_zone;   ///< zone_cut and one_way
+  std::string to_zone;     ///< zone_cut and one_way
+  std::string drain_pace = "at_once";
   SourcePosition position;
 };
 
+/// All settings of a scenario; their meaning and their stored names are in the table in scenario.cpp.
 struct Scenario {
   std::string file, name, about, protocol = "line", discovery = "platform";
   double duration_s = 20, settle_s = 0;
@@ -100,14 +122,19 @@
   std::vector<Fault> faults;
 };
 
-// Reads and checks the whole file; throws InvalidInput.
+/// Reads a scenario from a file and validates it; throws InvalidInput.
 Scenario read_scenario(const std::string& path);
+/// Parses a scenario and validates it; throws InvalidInput.
+/// @param file the name to use in error messages.
 Scenario parse_scenario(const std::string& text, const std::string& file);
-// Sets one number or word by its name, such as "clients.standing"; throws InvalidInput where there is none
-// such.
+/// Sets a setting by its name, such as "clients.standing"; throws InvalidInput if the name or the value is
+/// invalid.
 void set_setting(Scenario& scenario, const std::string& name, const std::string& value);
-std::string settings_reference();  // the table as Markdown, for docs/scenario.md
+/// The table of settings as Markdown, for docs/scenario.md.
+std::string settings_reference();
+/// Whether faults of this kind affect particular hosts.
 bool targets_hosts(FaultKind kind);
+/// Whether faults of this kind affect particular nodes.
 bool targets_nodes(FaultKind kind);
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/model/scenario_time.h
+++ b/src/emulator/model/scenario_time.h
@@ -1,4 +1,4 @@
-// Conversions between a scenario's times and ticks of 0.1 ms. Owns nothing; both drivers use them. See
+// Conversions between the times of a scenario, in seconds or milliseconds, and ticks of 0.1 ms. See
 // docs/emulator.md.
 #pragma once
 #include "base/time.h"
--- a/src/emulator/sim/baseline_policy.cpp
+++ b/src/emulator/sim/baseline_policy.cpp
@@ -6,24 +6,24 @@
 namespace dapplewharf::emulator {
 namespace {
 
-enum Timer { watch_again = 0, relieve = 1 };
+enum Timer { watch_list = 0, relieve_endpoints = 1 };
 
 constexpr Duration kWatchRetryDelay = kSecond;
 constexpr Duration kReliefInterval = 250 * kMs;
 constexpr double kFullLoad = 0.95;       // of an endpoint's capacity
-constexpr double kReliefShare = 0.1;     // of the connections on a full endpoint, each interval
-constexpr double kAffinityBonus = 0.25;  // of load, for an endpoint that holds some of the group
-constexpr double kCrossZoneLoad = 0.3;   // of load, for an endpoint of another zone
+constexpr double kReliefShare = 0.1;     // of the connections on a full endpoint, migrated in each interval
+constexpr double kAffinityBonus = 0.25;  // of load, for an endpoint with connections of the affinity group
+constexpr double kCrossZoneLoad = 0.3;   // added to the load of an endpoint in another zone
 constexpr double kConnectionTieBreak = 1e-6;
 constexpr int kRingPoints = 60;  // of an endpoint of size 1
 constexpr double kRingSize = 1.9e19;
-constexpr double kLeastSize = 1e-6;
+constexpr double kMinSize = 1e-6;
 
-// Ranks, the lowest of which is preferred.
-constexpr double kTriedBefore = 1e9;
-constexpr double kOtherZone = 1e6;
-constexpr double kDrainingPreference = 1e7;  // of the defect that prefers draining endpoints
-constexpr double kDrainingPreferredBelow = 1e8;
+// Terms of an endpoint's rank; the endpoint with the lowest rank is selected.
+constexpr double kTriedPenalty = 1e9;
+constexpr double kOtherZonePenalty = 1e6;
+constexpr double kDrainingPreference = 1e7;  // subtracted by the defect ignores_drain
+constexpr double kMaxPreferredDrainingRank = 1e8;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
                                                         const std::vector<PolicyEvent>& events) {
   now_ = now;
   for (const PolicyEvent& event : events) {
-    std::visit([this](const auto& one) { handle(one); }, event);
+    std::visit([this](const auto& typed_event) { handle(typed_event); }, event);
   }
   return std::exchange(actions_, {});
 }
@@ -64,7 +64,7 @@
 }
 
 void BaselinePolicy::handle(const EndpointWatchFailed&) {
-  actions_.push_back(SetTimer{watch_again, kWatchRetryDelay});
+  actions_.push_back(SetTimer{watch_list, kWatchRetryDelay});
 }
 
 void BaselinePolicy::handle(const ShutdownStarted&) {
@@ -104,7 +104,7 @@
 }
 
 void BaselinePolicy::handle(const TimerFired& event) {
-  if (event.timer == relieve) {
+  if (event.timer == relieve_endpoints) {
     relieve_full_endpoints();
   } else {
     actions_.push_back(WatchEndpoints{});
@@ -128,18 +128,18 @@
       continue;
     }
     const bool cannot_serve = load > kCannotServeLoad;
-    int left = cannot_serve ? INT32_MAX : static_cast<int>(kReliefShare * endpoint.connections);
+    int remaining = cannot_serve ? INT32_MAX : static_cast<int>(kReliefShare * endpoint.connections);
     for (const auto& [request_id, request] : requests_) {
-      if (left > 0 && request.established && request.tried.back() == id) {
+      if (remaining > 0 && request.established && request.tried.back() == id) {
         actions_.push_back(MigrateConnection{request_id, id});
-        --left;
+        --remaining;
       }
     }
   }
 }
 
 void BaselinePolicy::set_relief_timer() {
-  actions_.push_back(SetTimer{relieve, kReliefInterval});
+  actions_.push_back(SetTimer{relieve_endpoints, kReliefInterval});
 }
 
 void BaselinePolicy::migrate_all() {
@@ -168,9 +168,9 @@
 
 void BaselinePolicy::start_attempt(const std::string& request_id) {
   HeldRequest& request = requests_[request_id];
-  const bool over = now_ >= request.attributes.deadline ||
-                    static_cast<double>(request.tried.size()) >= settings_.max_attempts;
-  const std::string endpoint = over ? "" : select_endpoint(request);
+  const bool exhausted = now_ >= request.attributes.deadline ||
+                         static_cast<double>(request.tried.size()) >= settings_.max_attempts;
+  const std::string endpoint = exhausted ? "" : select_endpoint(request);
   if (endpoint.empty()) {
     const double retry_after = static_cast<double>(settings_.max_retry_after) * random_.next_fraction();
     actions_.push_back(RejectRequest{request_id, static_cast<Duration>(retry_after)});
@@ -198,11 +198,11 @@
 
 double BaselinePolicy::rank(const HeldRequest& request, const std::string& id,
                             const KnownEndpoint& endpoint) {
-  if (defect_ == NodeDefect::heaps_on_cold) {
+  if (defect_ == NodeDefect::prefers_cold) {
     return -static_cast<double>(endpoint.entry.started);
   }
   const bool tried = std::count(request.tried.begin(), request.tried.end(), id) > 0;
-  const double tried_before = tried ? kTriedBefore : 0;
+  const double tried_before = tried ? kTriedPenalty : 0;
   const double other_zone = endpoint.entry.zone == settings_.zone ? 0 : 1;
   switch (order_) {
     case EndpointOrder::true_load:
@@ -210,14 +210,14 @@
              (holds_affinity_group(request, id) ? kAffinityBonus : 0) +
              endpoint.connections * kConnectionTieBreak;
     case EndpointOrder::fewest_connections:
-      return tried_before + kOtherZone * other_zone +
-             endpoint.connections / std::max(endpoint.entry.size, kLeastSize);
+      return tried_before + kOtherZonePenalty * other_zone +
+             endpoint.connections / std::max(endpoint.entry.size, kMinSize);
     case EndpointOrder::hash_ring:
       return tried_before + rank_on_ring(request, id, endpoint);
     case EndpointOrder::random:
       break;
   }
-  return tried_before + kOtherZone * other_zone + random_.next_fraction();
+  return tried_before + kOtherZonePenalty * other_zone + random_.next_fraction();
 }
 
 double BaselinePolicy::rank_on_ring(const HeldRequest& request, const std::string& id,
@@ -243,7 +243,7 @@
       continue;
     }
     double endpoint_rank = rank(request, id, endpoint);
-    if (!healthy && endpoint_rank < kDrainingPreferredBelow) {
+    if (!healthy && endpoint_rank < kMaxPreferredDrainingRank) {
       endpoint_rank -= kDrainingPreference;
     }
     if (best.empty() || endpoint_rank < best_rank) {
--- a/src/emulator/sim/baseline_policy.h
+++ b/src/emulator/sim/baseline_policy.h
@@ -1,6 +1,6 @@
-// The baselines that the load balancer is compared with: no health checks, no scores, and no migration but
-// off endpoints that leave; only the order of endpoints differs. Owns what one node knows. See
-// docs/emulator.md.
+// The baseline policies that the load balancer is compared with. They have no health checks and no scores,
+// and migrate connections only away from endpoints that leave; they differ in the order in which they prefer
+// endpoints. An object holds the state of one node. See docs/emulator.md.
 #pragma once
 #include <map>
 #include <string>
@@ -16,12 +16,13 @@
   random,
   fewest_connections,
   hash_ring,
-  true_load  // the least loaded; also migrates connections off endpoints that are full
+  true_load  ///< the least loaded one by its true load; also migrates connections away from full endpoints
 };
 
+/// The policy of one node that selects endpoints in a fixed order of preference.
 class BaselinePolicy : public Policy {
  public:
-  /// @param defect NodeDefect::none, ignores_drain or heaps_on_cold; the other defects are not of the policy.
+  /// @param defect NodeDefect::none, ignores_drain or prefers_cold; the other defects are outside the policy.
   BaselinePolicy(EndpointOrder order, NodeDefect defect, const Settings& settings, std::uint64_t seed,
                  TrueLoad true_load);
 
@@ -34,7 +35,7 @@
   };
   struct HeldRequest {
     RequestAttributes attributes;
-    std::vector<std::string> tried;  // endpoints; the last one holds the connection
+    std::vector<std::string> tried;  // endpoints, in order; the last one has the connection
     bool established = false;
   };
 
@@ -48,7 +49,7 @@
   void handle(const AttemptEnded& event);
   void handle(const ClientDisconnected& event);
   void handle(const TimerFired& event);
-  // What a baseline goes without.
+  // Events that a baseline ignores.
   void handle(const ConnectionAdopted&) {}
   void handle(const LoadReported&) {}
   void handle(const LatencyReported&) {}
--- a/src/emulator/sim/client_simulator.cpp
+++ b/src/emulator/sim/client_simulator.cpp
@@ -13,7 +13,7 @@
 constexpr Duration kNoNodeRetryDelay = 500 * kMs;
 constexpr std::uint64_t kAffinityGroupHashSeed = 7;
 constexpr std::uint64_t kDisconnectDraw = 0xd409;
-constexpr std::uint64_t kReturnDraw = 0xd509;
+constexpr std::uint64_t kReconnectDraw = 0xd509;
 
 }  // namespace
 
@@ -132,8 +132,8 @@
 }
 
 void ClientSimulator::handle(const ClientLeavesEarly& event) {
-  const bool answer_on_its_way = state_.clients[event.client].answered;
-  if (!waits_for(event.client, event.request_number) || answer_on_its_way) {
+  const bool answer_in_flight = state_.clients[event.client].answered;
+  if (!waits_for(event.client, event.request_number) || answer_in_flight) {
     return;
   }
   abandon_request(event.client);
@@ -156,9 +156,9 @@
   parts_.nodes.run_policy(*client.node);
 }
 
-void ClientSimulator::retry(Index index, Reply got, double retry_after_ms) {
+void ClientSimulator::retry(Index index, Reply reply, double retry_after_ms) {
   SimulatedClient& client = state_.clients[index];
-  const bool failed = got != Reply::disconnected && got != Reply::migrated;
+  const bool failed = reply != Reply::disconnected && reply != Reply::migrated;
   if (failed) {
     ++client.failures;
   }
@@ -166,7 +166,7 @@
     return;
   }
   const double wait_ms =
-      retry_delay_ms(state_.scenario, state_.session(index), got, retry_after_ms,
+      retry_delay_ms(state_.scenario, state_.session(index), reply, retry_after_ms,
                      std::max(1, client.failures), static_cast<std::uint64_t>(client.request_number));
   state_.schedule(state_.now() + from_milliseconds(wait_ms), ClientArrives{index});
 }
@@ -247,8 +247,8 @@
 void ClientSimulator::send_answer(Index index, Reply reply, double retry_after_ms) {
   SimulatedClient& client = state_.clients[index];
   client.answered = true;
-  const bool answers_twice = state_.defect_shows(NodeDefect::answers_twice);
-  const bool drops_answer = state_.defect_shows(NodeDefect::drops_answer);
+  const bool answers_twice = state_.defect_occurs(NodeDefect::answers_twice);
+  const bool drops_answer = state_.defect_occurs(NodeDefect::drops_answer);
   const int answers = drops_answer ? 0 : answers_twice ? 2 : 1;
   for (int sent = 0; sent < answers; ++sent) {
     state_.schedule(
@@ -290,8 +290,8 @@
   state_.audit.ended(client.request_id, how, endpoint_alive, state_.now());
   Second& second = state_.current_second();
   ++(how == Ended::moved ? second.moved : second.cut);
-  const bool answer_on_its_way = !client.connected;
-  if (answer_on_its_way) {
+  const bool answer_in_flight = !client.connected;
+  if (answer_in_flight) {
     return;
   }
   stop_service(index);
@@ -301,17 +301,18 @@
 }
 
 void ClientSimulator::disconnect_share(Index fault) {
-  const Fault& settings = state_.plan.faults[fault].fault;
+  const Fault& fault_settings = state_.plan.faults[fault].fault;
   for (Index client = 0; client < state_.clients.size(); ++client) {
     const std::uint64_t seed = state_.session(client).seed;
     if (!state_.clients[client].connected ||
-        stable_fraction(seed, kDisconnectDraw + fault) >= settings.magnitude) {
+        stable_fraction(seed, kDisconnectDraw + fault) >= fault_settings.magnitude) {
       continue;
     }
     state_.audit.ended(state_.clients[client].request_id, Ended::by_client, true, state_.now());
     disconnect(client);
-    const double returns_after_s = settings.duration_s * stable_fraction(seed, kReturnDraw + fault);
-    state_.schedule(state_.now() + from_seconds(returns_after_s), ClientArrives{client});
+    const double reconnects_after_s =
+        fault_settings.duration_s * stable_fraction(seed, kReconnectDraw + fault);
+    state_.schedule(state_.now() + from_seconds(reconnects_after_s), ClientArrives{client});
   }
 }
 
--- a/src/emulator/sim/client_simulator.h
+++ b/src/emulator/sim/client_simulator.h
@@ -1,5 +1,5 @@
-// The clients of a simulated run: when they ask for a connection, what they do with an answer, when they
-// retry and leave. Changes clients in the shared state and tells the auditor what they see. See
+// The clients of a simulated run: when they request a connection, how they react to an answer, and when they
+// retry and leave. Changes the clients in the shared state and reports to the auditor what they observe. See
 // docs/emulator.md.
 #pragma once
 #include "emulator/sim/simulation_parts.h"
@@ -7,6 +7,7 @@
 
 namespace dapplewharf::emulator {
 
+/// Handles the events of clients.
 class ClientSimulator {
  public:
   explicit ClientSimulator(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
@@ -19,17 +20,20 @@
   void handle(const AnswerArrives& event);
 
   /// Sends a node's final answer to its client.
-  /// @param retry_after_ms told with a rejection; whole milliseconds count.
+  /// @param retry_after_ms sent with a rejection, truncated to whole milliseconds.
   void send_answer(Index client, Reply reply, double retry_after_ms = 0);
 
-  /// A client's established connection has ended from the other side.
-  /// @param endpoint_alive whether its endpoint was up then.
+  /// Ends a client's established connection that its node or endpoint has closed.
+  /// @param endpoint_alive whether its endpoint was up at that time.
   void lose_connection(Index client, Ended how, bool endpoint_alive);
 
-  /// Schedules a client's next request after what it got for the last one.
-  void retry(Index client, Reply got, double retry_after_ms);
+  /// Schedules a client's next request.
+  /// @param reply how its last request or connection ended.
+  /// @param retry_after_ms from a rejection; 0 if there was none.
+  void retry(Index client, Reply reply, double retry_after_ms);
 
-  /// Closes the connections of a fault's share of the clients, which come back within the fault's span.
+  /// Closes the connections of a share of the clients, as a fault `disconnect` does. The clients reconnect
+  /// within the duration of the fault.
   void disconnect_share(Index fault);
 
  private:
@@ -47,7 +51,7 @@
 
   SimulationParts& parts_;
   SimulationState& state_;
-  std::size_t next_turn_ = 0;  // of the front's round robin
+  std::size_t next_turn_ = 0;  // of the round robin over nodes
 };
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/sim/connection_simulator.cpp
+++ b/src/emulator/sim/connection_simulator.cpp
@@ -22,7 +22,7 @@
   if (state_.nodes[node].zone != state_.zone_of_endpoint(*endpoint)) {
     ++state_.result.crossings;
   }
-  if (!state_.defect_shows(NodeDefect::two_tries) || state_.endpoints.size() < 2) {
+  if (!state_.defect_occurs(NodeDefect::duplicates_attempt) || state_.endpoints.size() < 2) {
     return;
   }
   const Index next_endpoint = (*endpoint + 1) % static_cast<Index>(state_.endpoints.size());
@@ -49,12 +49,11 @@
   const SimulatedEndpoint& target = state_.endpoints[endpoint];
   const Duration one_way = state_.draw_node_delay(node, endpoint);
   const TimePoint now = state_.now();
-  const double most_connections =
-      state_.scenario.max_connections_per_core * state_.plan.hosts[endpoint].cores;
+  const double max_connections = state_.scenario.max_connections_per_core * state_.plan.hosts[endpoint].cores;
   const bool reachable =
       target.condition != EndpointCondition::vanished && !state_.responses_lost(node, endpoint);
   const bool refused =
-      target.condition == EndpointCondition::down || target.open_connections >= most_connections;
+      target.condition == EndpointCondition::down || target.open_connections >= max_connections;
   if (!reachable) {
     const Duration connect_timeout = from_milliseconds(state_.scenario.connect_timeout_ms);
     state_.schedule(now + std::min(timeout, connect_timeout), AttemptFails{index, Outcome::connect_failed});
--- a/src/emulator/sim/connection_simulator.h
+++ b/src/emulator/sim/connection_simulator.h
@@ -1,11 +1,12 @@
-// The attempts of a simulated run and the connections that they become, as nodes and the network see them.
-// Owns no state but through SimulationState. See docs/emulator.md.
+// The attempts of a simulated run and the connections that they establish, on the side of nodes and the
+// network. All state is in SimulationState. See docs/emulator.md.
 #pragma once
 #include "emulator/sim/simulation_parts.h"
 #include "emulator/sim/simulation_state.h"
 
 namespace dapplewharf::emulator {
 
+/// Handles the events of attempts and connections at their nodes.
 class ConnectionSimulator {
  public:
   explicit ConnectionSimulator(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
@@ -16,11 +17,11 @@
   void handle(const EstablishedArrives& event);
   void handle(const AttemptResultArrives& event);
 
-  /// Begins the attempt that a node's policy has decided on.
+  /// Starts an attempt for a node's policy.
   void begin_attempt(Index node, const StartAttempt& action);
 
-  /// Closes a connection at its node: the policy and the endpoint are told.
-  /// @param final whether the client's request ends with it.
+  /// Closes a connection at its node, and notifies the policy and the endpoint.
+  /// @param final whether the client's request ends too, so that no other attempt follows.
   void close(Index connection, Outcome outcome, bool final);
 
  private:
--- a/src/emulator/sim/endpoint_list_service.cpp
+++ b/src/emulator/sim/endpoint_list_service.cpp
@@ -16,7 +16,7 @@
   return state_.nodes[node].alive && state_.nodes[node].incarnation == incarnation;
 }
 
-std::vector<EndpointEntry> EndpointListService::whole_list() const {
+std::vector<EndpointEntry> EndpointListService::complete_list() const {
   std::vector<EndpointEntry> list;
   for (Index endpoint = 0; endpoint < state_.endpoints.size(); ++endpoint) {
     if (state_.endpoints[endpoint].listed) {
@@ -46,7 +46,7 @@
 }
 
 void EndpointListService::deliver_cached_list(Index node) {
-  const std::vector<EndpointEntry> list = whole_list();
+  const std::vector<EndpointEntry> list = complete_list();
   record_notification(node, list);
   parts_.nodes.add_event(node, EndpointsCached{list});
 }
@@ -75,7 +75,7 @@
   }
   SimulatedNode& node = state_.nodes[event.node];
   node.watches_list = node.watches_list || event.watch;
-  const std::vector<EndpointEntry> list = whole_list();
+  const std::vector<EndpointEntry> list = complete_list();
   parts_.nodes.add_event(event.node, EndpointsSnapshot{list});
   record_notification(event.node, list);
   for (Index endpoint = 0; endpoint < state_.endpoints.size(); ++endpoint) {
--- a/src/emulator/sim/endpoint_simulator.cpp
+++ b/src/emulator/sim/endpoint_simulator.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr Duration kDrainStepInterval = 500 * kMs;
-constexpr double kDrainStepShare = 0.2;  // of the connections that are left
-constexpr double kNeverBackS = 1e5;      // longer than any run
-constexpr int kMostShedPerStep = 8;      // connections
+constexpr double kDrainStepShare = 0.2;  // of the remaining connections
+constexpr double kNeverReturnsS = 1e5;   // longer than any run
+constexpr int kMaxShedPerStep = 8;       // connections
 constexpr double kMicroseconds = 1e6;    // in a second
 constexpr std::uint64_t kSetupDrawStride = 31;
 constexpr std::uint64_t kSetupDrawOffset = 5;
@@ -56,11 +56,11 @@
     respond(index, Outcome::error);
     return;
   }
-  const double push_ratio = endpoint.model.record_setup_arrival();
-  state_.audit.pushed(static_cast<int>(connection.endpoint), push_ratio, state_.now());
-  if (push_ratio > 1) {
-    endpoint.overwhelmed = true;
-    take_away(connection.endpoint, EndpointCondition::down, kNeverBackS, state_.scenario.list_delay_s);
+  const double cold_setup_ratio = endpoint.model.record_setup_arrival();
+  state_.audit.pushed(static_cast<int>(connection.endpoint), cold_setup_ratio, state_.now());
+  if (cold_setup_ratio > 1) {
+    endpoint.failed_while_cold = true;
+    take_away(connection.endpoint, EndpointCondition::down, kNeverReturnsS, state_.scenario.list_delay_s);
     return;
   }
   if (endpoint.hang_faults > 0) {
@@ -183,10 +183,10 @@
     return;
   }
   endpoint.model.advance(state_.now());
-  forget(event.connection);
+  remove(event.connection);
 }
 
-void EndpointSimulator::forget(Index index) {
+void EndpointSimulator::remove(Index index) {
   SimulatedConnection& connection = state_.connections[index];
   SimulatedEndpoint& endpoint = state_.endpoints[connection.endpoint];
   if (connection.established_at_endpoint) {
@@ -206,7 +206,7 @@
 void EndpointSimulator::close_from_endpoint(Index index, CloseKind kind) {
   const SimulatedConnection& connection = state_.connections[index];
   if (connection.at_endpoint) {
-    forget(index);
+    remove(index);
   }
   const Index node = connection.node;
   if (connection.closed || !state_.node_runs(connection) ||
@@ -215,11 +215,10 @@
   }
   const Index client = connection.client;
   const bool was_established = connection.established_at_node;
-  const bool told_to_move = kind == CloseKind::client_told_to_move;
-  parts_.connections.close(index, told_to_move ? Outcome::cancelled : Outcome::connection_lost,
-                           was_established);
+  const bool migrated = kind == CloseKind::client_migrated;
+  parts_.connections.close(index, migrated ? Outcome::cancelled : Outcome::connection_lost, was_established);
   if (was_established) {
-    parts_.clients.lose_connection(client, told_to_move ? Ended::moved : Ended::by_host, true);
+    parts_.clients.lose_connection(client, migrated ? Ended::moved : Ended::by_host, true);
   }
   parts_.nodes.run_policy(node);
 }
@@ -268,7 +267,7 @@
 
 void EndpointSimulator::restart(Index index) {
   SimulatedEndpoint& endpoint = state_.endpoints[index];
-  if (endpoint.overwhelmed) {
+  if (endpoint.failed_while_cold) {
     return;
   }
   reset_all_connections(index);
@@ -313,7 +312,7 @@
   const std::vector<Index> leaving(endpoint.established.begin(), endpoint.established.begin() + count);
   endpoint.model.advance(state_.now());
   for (const Index connection : leaving) {
-    close_from_endpoint(connection, CloseKind::client_told_to_move);
+    close_from_endpoint(connection, CloseKind::client_migrated);
   }
   state_.schedule(state_.now() + kDrainStepInterval, DrainStep{event.endpoint, event.incarnation});
 }
@@ -323,7 +322,7 @@
   if (state_.scenario.shedding == "none" || endpoint.condition != EndpointCondition::up) {
     return;
   }
-  for (int shed = 0; shed < kMostShedPerStep; ++shed) {
+  for (int shed = 0; shed < kMaxShedPerStep; ++shed) {
     if (endpoint.model.backlog_s() <= state_.scenario.max_backlog_s || endpoint.established.empty()) {
       return;
     }
--- a/src/emulator/sim/endpoint_simulator.h
+++ b/src/emulator/sim/endpoint_simulator.h
@@ -6,6 +6,7 @@
 
 namespace dapplewharf::emulator {
 
+/// Handles the events of endpoints.
 class EndpointSimulator {
  public:
   explicit EndpointSimulator(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
@@ -19,20 +20,23 @@
   void handle(const EndpointRestarts& event);
   void handle(const EndpointJoins& event);
 
-  /// Schedules the next look at the setup queue anew, after the endpoint's speed or condition has changed.
+  /// Recomputes when the next connection setup is complete, after the endpoint's speed or condition has
+  /// changed.
   void reschedule_setup_work(Index endpoint);
 
-  /// Takes an endpoint away; it comes back with a fresh process.
+  /// Stops an endpoint; it returns with a fresh process.
   /// @param how EndpointCondition::vanished or down.
-  /// @param away_s seconds until it is back.
-  /// @param noticed_after_s seconds until the endpoint list service removes it, if it is not back by then.
+  /// @param away_s seconds until it returns.
+  /// @param noticed_after_s seconds until the endpoint list service removes it, unless it has returned by
+  /// then.
   void take_away(Index endpoint, EndpointCondition how, double away_s, double noticed_after_s);
 
-  /// Ends the newest connections while more work is piled up than the endpoint buffers.
+  /// Closes the newest connections while the backlog exceeds Scenario::max_backlog_s, if the scenario sheds
+  /// load.
   void shed_overload(Index endpoint);
 
  private:
-  enum class CloseKind { client_told_to_move, connection_lost };
+  enum class CloseKind { client_migrated, connection_lost };
 
   void admit_setup(Index connection);
   void respond(Index connection, Outcome outcome);
@@ -40,7 +44,7 @@
   void schedule_setup_work(Index endpoint);
   double current_load(Index connection) const;
   void report_load(Index connection);
-  void forget(Index connection);
+  void remove(Index connection);
   void close_from_endpoint(Index connection, CloseKind kind);
   void reset_all_connections(Index endpoint);
   void restart(Index endpoint);
--- a/src/emulator/sim/event_queue.h
+++ b/src/emulator/sim/event_queue.h
@@ -1,4 +1,4 @@
-// The clock of a simulated run and the events that are due. Owns the virtual time; never reads a real clock.
+// The virtual clock of a simulated run and its queue of events. No real clock is read.
 // See docs/emulator.md.
 #pragma once
 #include <queue>
@@ -9,7 +9,7 @@
 
 namespace dapplewharf::emulator {
 
-/// Events in the order of their times; events of one time in the order in which they were scheduled.
+/// Orders events by their times; events with the same time keep the order in which they were scheduled.
 class EventQueue {
  public:
   /// The virtual time since the run began.
--- a/src/emulator/sim/fault_injector.cpp
+++ b/src/emulator/sim/fault_injector.cpp
@@ -58,7 +58,7 @@
     case FaultKind::restart:
     case FaultKind::drain:
       if (begins) {
-        take_endpoint_away(index, position);
+        stop_endpoint(index, position);
       }
       break;
     case FaultKind::neighbour:
@@ -83,7 +83,7 @@
   parts_.endpoints.reschedule_setup_work(endpoint_index);
 }
 
-void FaultInjector::take_endpoint_away(Index index, std::size_t position) {
+void FaultInjector::stop_endpoint(Index index, std::size_t position) {
   const PlannedFault& planned = state_.plan.faults[index];
   const Fault& fault = planned.fault;
   const auto endpoint = static_cast<Index>(planned.hosts[position]);
@@ -177,19 +177,19 @@
 void FaultInjector::handle(const NeighbourLoadChanges& event) {
   const PlannedFault& planned = state_.plan.faults[event.fault];
   const Fault& fault = planned.fault;
-  const bool over = state_.now() >= from_seconds(fault.start_s + fault.duration_s);
+  const bool has_ended = state_.now() >= from_seconds(fault.start_s + fault.duration_s);
   for (const int number : planned.hosts) {
     const auto index = static_cast<Index>(number);
     SimulatedEndpoint& endpoint = state_.endpoints[index];
     endpoint.model.advance(state_.now());
-    endpoint.model.neighbour_share = event.active && !over ? fault.magnitude : 0;
+    endpoint.model.neighbour_share = event.active && !has_ended ? fault.magnitude : 0;
     parts_.endpoints.reschedule_setup_work(index);
   }
-  if (over) {
+  if (has_ended) {
     return;
   }
-  const double span_s = fault.interval_s > 0 ? fault.interval_s : fault.duration_s;
-  state_.schedule(state_.now() + from_seconds(span_s), NeighbourLoadChanges{event.fault, !event.active});
+  const double interval_s = fault.interval_s > 0 ? fault.interval_s : fault.duration_s;
+  state_.schedule(state_.now() + from_seconds(interval_s), NeighbourLoadChanges{event.fault, !event.active});
 }
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/sim/fault_injector.h
+++ b/src/emulator/sim/fault_injector.h
@@ -1,11 +1,13 @@
-// Applies the planned faults of a simulated run when they begin and takes them back when they end. Owns no
-// state. See docs/emulator.md, and docs/scenario.md for the kinds.
+// Applies the planned faults of a simulated run when they begin and reverts them when they end. All state is
+// in SimulationState and in the parts that a fault affects. See docs/emulator.md, and docs/scenario.md for
+// the kinds.
 #pragma once
 #include "emulator/sim/simulation_parts.h"
 #include "emulator/sim/simulation_state.h"
 
 namespace dapplewharf::emulator {
 
+/// Handles the events of faults.
 class FaultInjector {
  public:
   explicit FaultInjector(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
@@ -19,7 +21,7 @@
 
   void apply(Index fault, Change change);
   void apply_to_endpoint(Index fault, std::size_t position, Change change);
-  void take_endpoint_away(Index fault, std::size_t position);
+  void stop_endpoint(Index fault, std::size_t position);
   void silence(Index endpoint, Change change);
   void apply_to_node(const Fault& fault, Index node);
   void apply_to_deployment(Index fault, Change change);
--- a/src/emulator/sim/health_check_simulator.cpp
+++ b/src/emulator/sim/health_check_simulator.cpp
@@ -7,7 +7,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-constexpr Duration kResponseTimeout = 50 * kMs;  // on top of the time to connect
+constexpr Duration kResponseTimeout = 50 * kMs;  // in addition to the connect timeout
 constexpr std::uint64_t kFailureDraw = 0x9b0be;
 
 }  // namespace
--- a/src/emulator/sim/health_check_simulator.h
+++ b/src/emulator/sim/health_check_simulator.h
@@ -6,6 +6,7 @@
 
 namespace dapplewharf::emulator {
 
+/// Handles the events of health checks.
 class HealthCheckSimulator {
  public:
   explicit HealthCheckSimulator(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
@@ -13,7 +14,7 @@
   void handle(const HealthCheckArrives& event);
   void handle(const HealthCheckEnds& event);
 
-  /// Sends a health check, as a node's policy has decided; does nothing where no endpoint has this name.
+  /// Starts a health check for a node's policy; does nothing if no endpoint has this name.
   void begin(Index node, const std::string& endpoint_name);
 
  private:
--- a/src/emulator/sim/measurements.cpp
+++ b/src/emulator/sim/measurements.cpp
@@ -11,13 +11,13 @@
 
 constexpr double kServiceStepS = static_cast<double>(kServiceStep) / kSecond;
 constexpr Duration kNodeReportInterval = kSecond;
-/// Latencies over this share of the shortest message latency objective are reported.
+/// A node reports latencies above this share of the shortest message latency objective.
 constexpr double kReportedObjectiveShare = 1.0 / 3;
-/// The share of that objective that a node takes a message to need on an idle endpoint.
+/// The share of that objective that a message needs on an idle endpoint, by the estimate of a node.
 constexpr double kIdleObjectiveShare = 1.0 / 5;
-/// A health check's excess over its minimum that tells nothing.
+/// Health checks that exceed their minimum by no more are treated as noise.
 constexpr double kHealthCheckNoiseMs = 1.5;
-constexpr double kLeastHealthCheckMs = 1e-3;
+constexpr double kMinHealthCheckMs = 1e-3;
 constexpr std::size_t kHealthCheckSamples = 60;  // one a second
 
 struct WeightedQuantile {
@@ -57,7 +57,7 @@
   if (now < state_.end) {
     state_.schedule(now + kServiceStep, ServiceMeasured{});
   }
-  if (state_.defect == NodeDefect::changes_bytes && now % kSecond == 0) {
+  if (state_.defect == NodeDefect::corrupts_bytes && now % kSecond == 0) {
     corrupt_one_message();
   }
 }
@@ -196,17 +196,18 @@
   }
 }
 
-// The node's own estimate: the excess of the last health check over the least one of the last minute.
+// The latency that a node estimates: the excess of the last health check over the fastest one of the last
+// minute.
 double Measurements::latency_by_health_checks(Index index) const {
   const std::deque<double>& samples = state_.endpoints[index].health_check_ms;
   if (samples.empty()) {
     return 0;
   }
-  const double least = *std::min_element(samples.begin(), samples.end());
-  const double waited = samples.back() - least;
-  const double stretched = kIdleObjectiveShare * state_.shortest_message_objective_ms * samples.back() /
-                           std::max(least, kLeastHealthCheckMs);
-  return waited > kHealthCheckNoiseMs ? std::max(waited, stretched) : waited;
+  const double fastest = *std::min_element(samples.begin(), samples.end());
+  const double excess_ms = samples.back() - fastest;
+  const double scaled_objective_ms = kIdleObjectiveShare * state_.shortest_message_objective_ms *
+                                     samples.back() / std::max(fastest, kMinHealthCheckMs);
+  return excess_ms > kHealthCheckNoiseMs ? std::max(excess_ms, scaled_objective_ms) : excess_ms;
 }
 
 TimePoint Measurements::link_cut_since(const SimulatedConnection& connection) const {
--- a/src/emulator/sim/measurements.h
+++ b/src/emulator/sim/measurements.h
@@ -1,11 +1,12 @@
-// What a simulated run measures: the service that clients get, and the latencies and stalled requests that
-// nodes report to their policies. Owns the connection time so far. See docs/emulator.md.
+// The measurements of a simulated run: the service that clients get, and the latencies and stalled requests
+// that nodes report to their policies. It accumulates the connection time of the run. See docs/emulator.md.
 #pragma once
 #include "emulator/sim/simulation_parts.h"
 #include "emulator/sim/simulation_state.h"
 
 namespace dapplewharf::emulator {
 
+/// Handles the events of measurements.
 class Measurements {
  public:
   explicit Measurements(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
@@ -16,14 +17,14 @@
   /// Schedules the first measurements of a run.
   void start();
 
-  /// The sum of established connections over seconds.
+  /// The time of all established connections together, in seconds.
   double connection_seconds() const { return connection_s_; }
 
  private:
   struct Service {
-    double wanted = 0;     // value
-    double served = 0;     // value
-    double connected = 0;  // clients
+    double wanted = 0;     // value of the service that clients in a session want
+    double served = 0;     // value of the service that they get
+    double connected = 0;  // number of clients
   };
 
   void add_wanted(Service& service) const;
--- a/src/emulator/sim/network_links.h
+++ b/src/emulator/sim/network_links.h
@@ -1,5 +1,5 @@
-// The network of a simulated run: delays between clients, nodes and endpoints, and links between zones that
-// are cut. Owns the random draws of delays. See docs/emulator.md.
+// The network of a simulated run: random delays between clients, nodes and endpoints, and the links between
+// zones that are cut. See docs/emulator.md.
 #pragma once
 #include "base/time.h"
 #include "emulator/model/chance.h"
@@ -8,6 +8,7 @@
 
 namespace dapplewharf::emulator {
 
+/// Draws delays and holds the cut links.
 class NetworkLinks {
  public:
   NetworkLinks(const Scenario& scenario, std::uint64_t seed);
--- a/src/emulator/sim/node_simulator.cpp
+++ b/src/emulator/sim/node_simulator.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kFrontAdditionDelay = 500 * kMs;
 constexpr double kCannotServe = 1e7;  // a load that no endpoint reaches
 constexpr double kColdPenalty = 0.5;
-constexpr double kLeastCapacity = 1e-6;
+constexpr double kMinCapacity = 1e-6;
 
 }  // namespace
 
@@ -53,7 +53,7 @@
     return kCannotServe;
   }
   const HostModel& model = endpoint.model;
-  return (model.load() + model.backlog_s()) / std::max(model.capacity(), kLeastCapacity) +
+  return (model.load() + model.backlog_s()) / std::max(model.capacity(), kMinCapacity) +
          (model.is_cold() ? kColdPenalty : 0);
 }
 
@@ -70,7 +70,7 @@
     const std::vector<PolicyEvent> events = std::exchange(node.pending_events, {});
     for (const PolicyAction& action :
          node.policy->handle_events(kPolicyClockAtStart + state_.now(), events)) {
-      std::visit([this, index](const auto& one) { perform(index, one); }, action);
+      std::visit([this, index](const auto& typed_action) { perform(index, typed_action); }, action);
     }
   }
   node.policy_running = false;
@@ -124,7 +124,7 @@
     return;
   }
   parts_.connections.close(*connection, Outcome::cancelled, true);
-  const Ended how = state_.defect == NodeDefect::cuts_off ? Ended::cut : Ended::moved;
+  const Ended how = state_.defect == NodeDefect::closes_without_migration ? Ended::cut : Ended::moved;
   parts_.clients.lose_connection(*client, how, state_.is_up(state_.connections[*connection].endpoint));
 }
 
--- a/src/emulator/sim/node_simulator.h
+++ b/src/emulator/sim/node_simulator.h
@@ -1,11 +1,12 @@
-// The nodes of a simulated run: their processes, and the turns in which a policy gets events and its actions
-// are carried out. Changes nodes in the shared state. See docs/emulator.md.
+// The nodes of a simulated run: their processes, and the delivery of events to their policies, whose actions
+// are carried out. Changes the nodes in the shared state. See docs/emulator.md.
 #pragma once
 #include "emulator/sim/simulation_parts.h"
 #include "emulator/sim/simulation_state.h"
 
 namespace dapplewharf::emulator {
 
+/// Handles the events of nodes and runs their policies.
 class NodeSimulator {
  public:
   explicit NodeSimulator(SimulationParts& parts) : parts_(parts), state_(parts.state) {}
@@ -16,19 +17,19 @@
   void handle(const FrontChecksNode& event);
   void handle(const FrontRemovesNode& event);
 
-  /// Starts a node's process with the endpoint list that the deployment keeps for it.
+  /// Starts a node's process with its cached copy of the endpoint list.
   void start(Index node);
   /// Kills a node's process at once.
   void kill(Index node);
   /// Tells a node to stop; it exits after kNodeShutdownTime and restarts.
-  /// @param restart_after since now, at the earliest just after the exit.
+  /// @param restart_after from now; if the node exits later than that, it restarts just after its exit.
   void stop(Index node, Duration restart_after);
 
   /// Appends an event for a node's policy, which gets it when run_policy is called.
   void add_event(Index node, PolicyEvent event);
 
-  /// Hands the pending events to a node's policy and carries out its actions until no event is left. A call
-  /// from within a turn leaves the events to that turn.
+  /// Passes the pending events to a node's policy and carries out its actions, until no event is pending. A
+  /// nested call, made while an action is carried out, does nothing, as the outer call handles the events.
   void run_policy(Index node);
 
  private:
--- a/src/emulator/sim/policy.cpp
+++ b/src/emulator/sim/policy.cpp
@@ -22,11 +22,13 @@
   const char* name;
   NodeDefect defect;
 };
-constexpr NamedDefect kDefects[] = {
-    {"faulty-drops-answer", NodeDefect::drops_answer}, {"faulty-answers-twice", NodeDefect::answers_twice},
-    {"faulty-effect-twice", NodeDefect::two_tries},    {"faulty-drain", NodeDefect::ignores_drain},
-    {"faulty-cold", NodeDefect::heaps_on_cold},        {"faulty-bytes", NodeDefect::changes_bytes},
-    {"faulty-cut-off", NodeDefect::cuts_off}};
+constexpr NamedDefect kDefects[] = {{"faulty-drops-answer", NodeDefect::drops_answer},
+                                    {"faulty-answers-twice", NodeDefect::answers_twice},
+                                    {"faulty-effect-twice", NodeDefect::duplicates_attempt},
+                                    {"faulty-drain", NodeDefect::ignores_drain},
+                                    {"faulty-cold", NodeDefect::prefers_cold},
+                                    {"faulty-bytes", NodeDefect::corrupts_bytes},
+                                    {"faulty-cut-off", NodeDefect::closes_without_migration}};
 
 /// The project's load balancer.
 class LoadBalancerPolicy : public Policy {
@@ -87,9 +89,10 @@
 std::unique_ptr<Policy> make_policy(const std::string& name, const Settings& settings, std::uint64_t seed,
                                     TimePoint now, TrueLoad true_load) {
   const NodeDefect defect = node_defect_of(name);
-  const bool defect_of_choice = defect == NodeDefect::ignores_drain || defect == NodeDefect::heaps_on_cold;
-  const bool defect_around_policy = defect != NodeDefect::none && !defect_of_choice;
-  if (name == kLoadBalancerName || defect_around_policy) {
+  const bool is_defect_of_selection =
+      defect == NodeDefect::ignores_drain || defect == NodeDefect::prefers_cold;
+  const bool is_defect_outside_policy = defect != NodeDefect::none && !is_defect_of_selection;
+  if (name == kLoadBalancerName || is_defect_outside_policy) {
     return std::make_unique<LoadBalancerPolicy>(settings, seed, now);
   }
   return std::make_unique<BaselinePolicy>(order_of(name), defect, settings, seed, std::move(true_load));
--- a/src/emulator/sim/policy.h
+++ b/src/emulator/sim/policy.h
@@ -1,6 +1,5 @@
-// Who decides in a simulated run: the project's load balancer, the baselines that only the emulator has, and
-// policies with one defect each, which show that the auditor can fail. Owns the names of all policies. See
-// docs/emulator.md.
+// The policies of simulated runs and their names: the project's load balancer, the baselines, and policies
+// with one deliberate defect each, which show that the auditor finds violations. See docs/emulator.md.
 #pragma once
 #include <functional>
 #include <memory>
@@ -13,7 +12,7 @@
 
 namespace dapplewharf::emulator {
 
-/// The decisions of one node, with the interface of LoadBalancer.
+/// The decisions of one node; the interface is that of LoadBalancer.
 class Policy {
  public:
   virtual ~Policy() = default;
@@ -24,34 +23,35 @@
   virtual std::vector<PolicyAction> handle_events(TimePoint now, const std::vector<PolicyEvent>& events) = 0;
 };
 
-/// A defect that a node has on purpose.
+/// A deliberate defect of a node.
 enum class NodeDefect {
   none,
-  drops_answer,
-  answers_twice,
-  two_tries,      // sends a duplicate of an attempt to another endpoint
-  ignores_drain,  // prefers draining endpoints
-  heaps_on_cold,  // prefers endpoints that have just started
-  changes_bytes,
-  cuts_off  // closes a connection without telling its client to move
+  drops_answer,             ///< does not send a final answer
+  answers_twice,            ///< sends a final answer twice
+  duplicates_attempt,       ///< sends a duplicate of an attempt to another endpoint
+  ignores_drain,            ///< prefers draining endpoints
+  prefers_cold,             ///< prefers endpoints that have just started
+  corrupts_bytes,           ///< changes the bytes of a message
+  closes_without_migration  ///< closes a connection instead of migrating its client
 };
 
-/// An endpoint's load over its capacity, as the model has it; over kCannotServeLoad if it cannot serve.
+/// @return an endpoint's load divided by its capacity in the model; above kCannotServeLoad if it cannot
+/// serve.
 using TrueLoad = std::function<double(const std::string& endpoint)>;
 constexpr double kCannotServeLoad = 1e6;
 
 std::vector<std::string> policy_names();
 
-/// Throws InvalidInput where no policy has this name.
+/// Throws InvalidInput if no policy has this name.
 void check_policy(const std::string& name);
 
 NodeDefect node_defect_of(const std::string& policy_name);
 
 /// Makes the policy of one node.
 /// @param name one of policy_names().
-/// @param seed of all chance that the policy draws.
+/// @param seed of the random numbers that the policy draws.
 /// @param now monotonic time in ticks of 0.1 ms.
-/// @param true_load asked by the one baseline that knows the truth.
+/// @param true_load used only by the baseline EndpointOrder::true_load.
 std::unique_ptr<Policy> make_policy(const std::string& name, const Settings& settings, std::uint64_t seed,
                                     TimePoint now, TrueLoad true_load);
 
--- a/src/emulator/sim/sim_event.h
+++ b/src/emulator/sim/sim_event.h
@@ -1,5 +1,5 @@
-// The events of a simulated run, each a struct of what it concerns. Owns nothing; `EventQueue` orders them
-// and `Simulation` hands each to the part that handles it. See docs/emulator.md.
+// The events of a simulated run, each a struct with the objects that it concerns. `EventQueue` orders them
+// and `Simulation` passes each to the part that handles it. See docs/emulator.md.
 #pragma once
 #include <cstdint>
 #include <variant>
@@ -23,7 +23,7 @@
   Index client;
   int request_number;
 };
-/// The deadline of a request, and the grace after it, are over.
+/// The deadline of a request and the grace time after it have passed.
 struct RequestDeadlinePasses {
   Index client;
   int request_number;
@@ -33,7 +33,7 @@
   Index client;
   int request_number;
 };
-/// A client needs no connection any more.
+/// A client no longer needs a connection.
 struct SessionEnds {
   Index client;
 };
@@ -45,16 +45,17 @@
   std::int64_t retry_after_ms;
 };
 
-// Events of attempts and of the connections that they become.
+// Events of attempts and of the connections that they establish.
 
 /// The node has written the request line to the endpoint.
 struct RequestLineSent {
   Index connection;
 };
+/// The request line reaches the endpoint.
 struct RequestLineArrives {
   Index connection;
 };
-/// The network or a refusing endpoint ends an attempt.
+/// An attempt fails because of the network or because its endpoint refuses it.
 struct AttemptFails {
   Index connection;
   Outcome outcome;
@@ -71,7 +72,7 @@
   Index connection;
   Outcome outcome;
 };
-/// The end of a connection reaches its endpoint.
+/// The closing of a connection reaches its endpoint.
 struct CloseArrives {
   Index connection;
 };
@@ -81,7 +82,7 @@
 
 // Events of endpoints. An event of an earlier incarnation is stale.
 
-/// The next connection setup of an endpoint's queue is due.
+/// The next connection setup in an endpoint's queue may be complete.
 struct SetupWorkDue {
   Index endpoint;
   int incarnation;
@@ -90,7 +91,7 @@
   Index fault;
   Index endpoint;
 };
-/// A draining endpoint sends away the next part of its connections.
+/// A draining endpoint migrates the next part of its connections.
 struct DrainStep {
   Index endpoint;
   int incarnation;
@@ -126,7 +127,7 @@
   Index node;
   int incarnation;
 };
-/// The front learns whether a node takes clients.
+/// The front checks whether a node accepts clients.
 struct FrontChecksNode {
   Index node;
 };
@@ -146,7 +147,7 @@
   Index node;
   int incarnation;
 };
-/// A node that polls the list is held to know of a leaving endpoint from now on.
+/// From now on a node that polls the list counts as notified of a leaving endpoint.
 struct PollingNodeIsNotified {
   Index node;
   Index endpoint;
@@ -166,7 +167,7 @@
 struct FaultEnds {
   Index fault;
 };
-/// A neighbouring program begins or stops taking its share of the endpoints' cores.
+/// Another program on the hosts starts or stops using its share of their cores.
 struct NeighbourLoadChanges {
   Index fault;
   bool active;
@@ -174,7 +175,7 @@
 
 // Events of the measurements.
 
-/// The service of the last step is counted.
+/// The service of the last interval is measured.
 struct ServiceMeasured {};
 /// Nodes report message latencies and requests without an answer to their policies.
 struct NodeReportsDue {};
--- a/src/emulator/sim/sim_time.h
+++ b/src/emulator/sim/sim_time.h
@@ -1,10 +1,10 @@
-// The clock of a simulated run, as its policies see it. Owns nothing. See docs/emulator.md.
+// The clock that policies see in a simulated run. See docs/emulator.md.
 #pragma once
 #include "emulator/model/scenario_time.h"
 
 namespace dapplewharf::emulator {
 
-/// What the policies' clock shows when a run begins.
+/// The time on the policies' clock at the start of a run.
 constexpr TimePoint kPolicyClockAtStart = 1000 * kSecond;
 
 }  // namespace dapplewharf::emulator
--- a/src/emulator/sim/simulation.cpp
+++ b/src/emulator/sim/simulation.cpp
@@ -19,7 +19,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-/// After the last deadline, for answers that are on their way.
+/// Time after the last deadline in which late answers may still arrive.
 constexpr double kAnswerGraceMs = 100;
 
 /// Passes an event to a part of the simulation, if that part has a handler for it.
--- a/src/emulator/sim/simulation_parts.h
+++ b/src/emulator/sim/simulation_parts.h
@@ -1,4 +1,4 @@
-// How the parts of a simulated run reach their shared state and one another. Owns nothing. See
+// References through which the parts of a simulated run reach the shared state and one another. See
 // docs/emulator.md.
 #pragma once
 
--- a/src/emulator/sim/simulation_state.cpp
+++ b/src/emulator/sim/simulation_state.cpp
@@ -8,7 +8,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-/// A node's built-in defect shows once in so many opportunities.
+/// A node's deliberate defect occurs once in so many opportunities.
 constexpr int kDefectInterval = 20;
 
 double shortest_message_objective(const Scenario& scenario) {
@@ -87,7 +87,7 @@
   return network.cuts().responses_lost(zone_of_endpoint(endpoint), nodes[node].zone);
 }
 
-bool SimulationState::defect_shows(NodeDefect kind) {
+bool SimulationState::defect_occurs(NodeDefect kind) {
   return defect == kind && ++defect_opportunities_ % kDefectInterval == 0;
 }
 
--- a/src/emulator/sim/simulation_state.h
+++ b/src/emulator/sim/simulation_state.h
@@ -1,5 +1,5 @@
 // The state that the parts of a simulated run share: endpoints, nodes, clients, connections, the clock, the
-// network and what has been measured. Decides nothing. See docs/emulator.md.
+// network and the results so far. See docs/emulator.md.
 #pragma once
 #include <deque>
 #include <map>
@@ -17,9 +17,9 @@
 
 namespace dapplewharf::emulator {
 
-/// How long a node that was told to stop goes on until it exits.
+/// Time from the order to stop until a node exits.
 constexpr Duration kNodeShutdownTime = 3600 * kMs;
-/// Service is counted in steps of this length.
+/// The interval in which service is measured.
 constexpr Duration kServiceStep = 100 * kMs;
 
 struct SimulatedEndpoint {
@@ -30,24 +30,24 @@
   EndpointCondition condition = EndpointCondition::up;
   bool draining = false;
   bool listed = true;
-  bool overwhelmed = false;            // fell over under too much load while cold; it does not come back
-  double failing_share = 0;            // of requests
-  int hang_faults = 0;                 // that hold its setups now
-  std::string drain_pace;              // as the scenario names it
+  bool failed_while_cold = false;      // it failed under too many setups while cold, and does not return
+  double failing_share = 0;            // of requests that it answers with an error
+  int hang_faults = 0;                 // active ones, which block its setups
+  std::string drain_pace;              // by its stored name
   TimePoint started = 0;               // 0: before the run
   TimePoint condition_since = 0;       // when it fell silent, vanished or went down
-  std::optional<TimePoint> setup_due;  // when it next looks at its setup queue
+  std::optional<TimePoint> setup_due;  // when its setup queue is processed next
   int incarnation = 0;
   std::map<HostModel::SetupId, Index> setups;  // connections that are being set up
   std::vector<Index> established;              // connections, in the order in which they were established
-  std::vector<int> served;                     // clients served, by the node's zone and the traffic type
+  std::vector<int> served;                     // connected clients, by the node's zone and the traffic type
   int open_connections = 0;
-  std::deque<double> health_check_ms;                // of the last minute, one a second
+  std::deque<double> health_check_ms;                // of the last minute, one per second
   EndpointState published = EndpointState::healthy;  // by the endpoint list service
 };
 
 struct SimulatedNode {
-  std::unique_ptr<Policy> policy;  // none while its process is gone
+  std::unique_ptr<Policy> policy;  // null while its process is not running
   int zone = 0;
   int incarnation = 0;
   bool alive = true;
@@ -57,14 +57,14 @@
   TimePoint list_requested = 0;  // when it last asked for the list
   TimePoint stop_requested = 0;
   std::vector<int> established;             // connections, by endpoint
-  std::vector<bool> slow_endpoints;         // whose latency its last report named
+  std::vector<bool> slow_endpoints;         // by endpoint: whether the last report named its latency
   std::vector<PolicyEvent> pending_events;  // for its policy
   bool policy_running = false;
 };
 
 struct SimulatedClient {
   bool started = false;
-  bool finished = false;  // needs no connection any more
+  bool finished = false;  // no longer needs a connection
   bool connected = false;
   bool waiting = false;   // its request has no answer at the client yet
   bool answered = false;  // the node has decided the answer
@@ -78,7 +78,7 @@
   TimePoint request_sent = 0;
 };
 
-/// An attempt, and the connection that it becomes.
+/// An attempt, and the connection that it establishes.
 struct SimulatedConnection {
   Index client;
   Index node;
@@ -106,6 +106,7 @@
   bool ended = false;
 };
 
+/// The shared state; its parts are public, as all simulators read and change them.
 class SimulationState {
  public:
   /// @param scenario must outlive the state.
@@ -135,10 +136,10 @@
   bool is_cut(Index node, Index endpoint) const;
   bool responses_lost(Index node, Index endpoint) const;
 
-  /// Whether the node's built-in defect shows this time; it shows at one of kDefectInterval opportunities.
-  bool defect_shows(NodeDefect kind);
+  /// Whether the node's deliberate defect occurs now; it occurs at one of kDefectInterval opportunities.
+  bool defect_occurs(NodeDefect kind);
 
-  /// The figures of the current second.
+  /// The measurements of the current second.
   Second& current_second();
 
   const Scenario& scenario;
@@ -146,7 +147,7 @@
   const std::string policy_name;
   const NodeDefect defect;
   const Plan plan;
-  const TimePoint end;  // of the arrivals
+  const TimePoint end;  // of the time in which clients arrive
   Audit audit;
   EventQueue queue;
   NetworkLinks network;
--- a/tests/emulator/event_queue_test.cpp
+++ b/tests/emulator/event_queue_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_EQ(queue.now(), 30);
 }
 
-TEST(EventQueue, TellsWhatIsDueByATime) {
+TEST(EventQueue, HasAnEventUntilATimeOnlyIfOneIsDueByThen) {
   EventQueue queue;
   EXPECT_FALSE(queue.has_event_until(100));
   queue.schedule(50, ClientArrives{1});
--- a/tests/emulator/host_test.cpp
+++ b/tests/emulator/host_test.cpp
@@ -1,4 +1,4 @@
-// The model of an endpoint: its setup queue, its load, its warm-up and its fall.
+// The performance model of a host: its setup queue, its load, its warm-up and its failure while cold.
 #include "emulator/model/host.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-TEST(Host, DoesWorkInTurnAtItsSpeed) {
+TEST(Host, CompletesSetupsInOrderAtItsSpeed) {
   World world;
   HostModel host = world.host();
   const auto first = host.add_setup(0.1);
@@ -22,20 +22,20 @@
   EXPECT_EQ(host.take_completed_setups(), std::vector<HostModel::SetupId>{second});
 }
 
-TEST(Host, PilesUpWhenMoreStandsThanItCanDo) {
+TEST(Host, BuildsUpABacklogWhileItsLoadExceedsItsCapacity) {
   World world;
   HostModel host = world.host();
   host.add_connection(15, -1);  // one and a half times its capacity
   host.advance(2 * kSecond);
   EXPECT_NEAR(host.backlog_s(), 1, 0.01);
-  EXPECT_EQ(host.share_within(900), 0) << "what waits longer than the goal is never in time";
+  EXPECT_EQ(host.share_within(900), 0) << "the backlog is longer than the goal";
   host.remove_connection(10, -1);
   host.advance(4 * kSecond);
   EXPECT_NEAR(host.backlog_s(), 0, 0.01);
   EXPECT_GT(host.share_within(100), 0.9);
 }
 
-TEST(Host, PaysForAGroupOnce) {
+TEST(Host, CountsTheOverheadOfAGroupOnce) {
   World world;
   world.scenario.group_overhead = 2;
   HostModel host = world.host();
@@ -47,7 +47,7 @@
   EXPECT_NEAR(host.load(), 0, 1e-9);
 }
 
-TEST(Host, WarmsUpEvenlyAndIsSlowedByFaults) {
+TEST(Host, WarmsUpLinearlyAndIsSlowedByFaults) {
   World world;
   HostModel host = world.host(true);
   EXPECT_NEAR(host.warm_up_factor(), 0.5, 1e-9);
@@ -61,8 +61,8 @@
   EXPECT_NEAR(host.capacity(), 0.5, 1e-9);
 }
 
-TEST(Host, FallsWhenPushedWhileColdAndNotWhenWarm) {
-  World world;  // 2.5 x 0.5 x 10 connections x 2 s of 10 s: 2.5 in a window, and 2 for chance
+TEST(Host, FailsUnderTooManySetupsOnlyWhileCold) {
+  World world;  // the limit is 2.5 x 0.5 x 10 connections x 2 s of 10 s: 2.5 in a window, and 2 of slack
   HostModel cold = world.host(true);
   HostModel warm = world.host();
   double ratio = 0;
@@ -72,7 +72,7 @@
   }
   EXPECT_GT(ratio, 1);
   cold.advance(3 * kSecond);
-  EXPECT_LT(cold.record_setup_arrival(), 0.3) << "the window has passed";
+  EXPECT_LT(cold.record_setup_arrival(), 0.3) << "the earlier setups are out of the window";
 }
 
 }  // namespace
--- a/tests/emulator/plan_test.cpp
+++ b/tests/emulator/plan_test.cpp
@@ -1,4 +1,4 @@
-// Plans: one seed gives one plan, and clients come again as the scenario says.
+// Plans depend on the scenario and the seed alone, and clients retry as the scenario says.
 #include "emulator/model/plan.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace dapplewharf::emulator {
 namespace {
 
-TEST(Plan, IsTheSameForOneSeedAndNotForAnother) {
+TEST(Plan, DependsOnTheSeedAndAFaultChangesNoDrawOfClients) {
   World world;
   EXPECT_EQ(make_plan(world.scenario, 4).hash, make_plan(world.scenario, 4).hash);
   EXPECT_NE(make_plan(world.scenario, 4).hash, make_plan(world.scenario, 5).hash);
@@ -17,10 +17,11 @@
   world.scenario.faults[0].name = "slow", world.scenario.faults[0].share = 0.5;
   const auto after = make_plan(world.scenario, 4);
   EXPECT_NE(before.hash, after.hash);
-  EXPECT_EQ(before.sessions.back().seed, after.sessions.back().seed) << "a trouble moves no client's draw";
+  EXPECT_EQ(before.sessions.back().seed, after.sessions.back().seed)
+      << "a fault changed the draws for clients";
 }
 
-TEST(Plan, ClientsComeAgainInTheirManner) {
+TEST(Plan, ClientsRetryAsTheScenarioSays) {
   World world;
   Session session;
   session.seed = 5, session.honours_retry_after = true;
@@ -30,7 +31,8 @@
   const double first = retry_delay_ms(scenario, session, Reply::rejected, 700, 1, 1);
   EXPECT_GE(first, scenario.backoff_ms / 2);
   EXPECT_DOUBLE_EQ(retry_delay_ms(scenario, session, Reply::rejected, 0, 2, 1), 2 * first);
-  EXPECT_GE(retry_delay_ms(scenario, session, Reply::rejected, 0, 3, 1), 2500) << "its tries are used up";
+  EXPECT_GE(retry_delay_ms(scenario, session, Reply::rejected, 0, 3, 1), 2500)
+      << "its quick retries are used up";
   scenario.backoff = "at_once";
   EXPECT_LT(retry_delay_ms(scenario, session, Reply::failed, 0, 1, 1), 10);
   scenario.backoff = "none";
--- a/tests/emulator/simulation_test.cpp
+++ b/tests/emulator/simulation_test.cpp
@@ -1,5 +1,5 @@
-// Whole runs in virtual time: the same bytes for the same seed, every rule findable, and the module keeping
-// all of them.
+// Complete simulated runs: they are reproducible, the auditor finds each kind of rule violation, and the load
+// balancer violates no rule.
 #include "emulator/sim/simulation.h"
 
 #include <gtest/gtest.h>
@@ -13,23 +13,23 @@
   return read_scenario(std::string(EXAMPLES) + "/" + name + ".toml");
 }
 
-TEST(Sim, TheSameSeedGivesTheSameBytes) {
+TEST(Simulation, TheSameSeedGivesTheSameReport) {
   const Scenario scenario = example("everything");
   const std::string first = simulate(scenario, 7, "dapplewharf").told().dump();
   EXPECT_EQ(first, simulate(scenario, 7, "dapplewharf").told().dump());
   EXPECT_NE(first, simulate(scenario, 8, "dapplewharf").told().dump());
 }
 
-struct Breach {
+struct DefectivePolicy {
   const char* policy;
   Rule rule;
 };
-void PrintTo(const Breach& breach, std::ostream* out) {
-  *out << breach.policy;
+void PrintTo(const DefectivePolicy& defective, std::ostream* out) {
+  *out << defective.policy;
 }
-class FaultyPolicy : public testing::TestWithParam<Breach> {};
+class FaultyPolicy : public testing::TestWithParam<DefectivePolicy> {};
 
-TEST_P(FaultyPolicy, IsFound) {
+TEST_P(FaultyPolicy, ViolatesItsRuleAndTheAuditorFindsIt) {
   const Result result = simulate(example("everything"), 1, GetParam().policy);
   EXPECT_GT(result.found[static_cast<int>(GetParam().rule)].count, 0);
   EXPECT_FALSE(result.found[static_cast<int>(GetParam().rule)].first.front().what.empty());
@@ -37,24 +37,24 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All, FaultyPolicy,
-                         testing::Values(Breach{"faulty-drops-answer", Rule::final_answer},
-                                         Breach{"faulty-answers-twice", Rule::final_answer},
-                                         Breach{"faulty-effect-twice", Rule::effect_twice},
-                                         Breach{"faulty-drain", Rule::drain_kept},
-                                         Breach{"faulty-cold", Rule::cold_pushed},
-                                         Breach{"faulty-bytes", Rule::bytes_changed},
-                                         Breach{"faulty-cut-off", Rule::cut_off}));
+                         testing::Values(DefectivePolicy{"faulty-drops-answer", Rule::final_answer},
+                                         DefectivePolicy{"faulty-answers-twice", Rule::final_answer},
+                                         DefectivePolicy{"faulty-effect-twice", Rule::effect_twice},
+                                         DefectivePolicy{"faulty-drain", Rule::drain_kept},
+                                         DefectivePolicy{"faulty-cold", Rule::cold_pushed},
+                                         DefectivePolicy{"faulty-bytes", Rule::bytes_changed},
+                                         DefectivePolicy{"faulty-cut-off", Rule::cut_off}));
 
-TEST(Sim, EveryFaultHasItsTest) {
-  int faulty = 0;
+TEST(Simulation, EveryDefectivePolicyHasATest) {
+  int defective_policies = 0;
   for (const std::string& name : policy_names()) {
-    faulty += name.starts_with("faulty-");
+    defective_policies += name.starts_with("faulty-");
   }
-  EXPECT_EQ(faulty, 7);
+  EXPECT_EQ(defective_policies, 7);
 }
 
-class KeepsRules : public testing::TestWithParam<const char*> {};
-TEST_P(KeepsRules, OnThreeSeeds) {
+class LoadBalancerRuns : public testing::TestWithParam<const char*> {};
+TEST_P(LoadBalancerRuns, ViolateNoRuleOnThreeSeeds) {
   const Scenario scenario = example(GetParam());
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const Result result = simulate(scenario, seed, "dapplewharf");
@@ -68,13 +68,13 @@
     EXPECT_LE(result.service(), 1);
   }
 }
-INSTANTIATE_TEST_SUITE_P(All, KeepsRules,
+INSTANTIATE_TEST_SUITE_P(All, LoadBalancerRuns,
                          testing::Values("flapping", "mass-restart", "calm", "silent", "slow",
                                          "rolling-drain", "cold-return", "reconnect-crowd", "list-down",
                                          "node-killed", "zone-cut", "neighbour", "growth", "everything",
                                          "small", "unrepeatable"));
 
-TEST(Sim, AFaultCostsWhatItShould) {
+TEST(Simulation, AFaultReducesServiceAndTheLoadBalancerBeatsRandom) {
   const double calm = simulate(example("calm"), 1, "dapplewharf").service();
   EXPECT_GT(calm, 0.99);
   EXPECT_LT(simulate(example("silent"), 1, "dapplewharf").service(), calm - 0.02);
--- a/tests/emulator/small_world.h
+++ b/tests/emulator/small_world.h
@@ -6,6 +6,7 @@
 
 namespace dapplewharf::emulator {
 
+/// The scenario and its plan for seed 1.
 struct World {
   Scenario scenario;
   Plan plan;
@@ -26,10 +27,11 @@
     scenario.traffic_types[2].repeat_group = "zone";
     plan = make_plan(scenario, 1);
   }
-  HostModel host(bool cold = false) {
-    HostModel made(scenario, plan, plan.hosts[0]);
-    made.start(0, cold);
-    return made;
+  /// A freshly started host of the plan.
+  HostModel host(bool is_cold = false) {
+    HostModel model(scenario, plan, plan.hosts[0]);
+    model.start(0, is_cold);
+    return model;
   }
 };
 
--- a/tests/emulator/zone_cuts_test.cpp
+++ b/tests/emulator/zone_cuts_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_FALSE(cuts.is_cut(0, 1));
 }
 
-TEST(ZoneCuts, EndsWithItsLastFault) {
+TEST(ZoneCuts, ACutEndsWhenItsLastFaultEnds) {
   ZoneCuts cuts(2);
   cuts.change_cut(0, 1, +1);
   cuts.change_cut(0, 1, +1);
