--- a/src/emulator/audit/audit.cpp
+++ b/src/emulator/audit/audit.cpp
@@ -57,7 +57,7 @@
   if (request.resumed) {
     return request.sent_at + kResumeTimeout + slack_;
   }
-  const Traffic& type = scenario_.traffic[static_cast<std::size_t>(request.traffic)];
+  const TrafficType& type = scenario_.traffic_types[static_cast<std::size_t>(request.traffic)];
   return request.sent_at + static_cast<Duration>(type.expiry_ms * kMs) +
          static_cast<Duration>(scenario_.grace_to_answer_ms * kMs) + slack_;
 }
@@ -84,7 +84,7 @@
     report_violation(Rule::final_answer, id, when,
                      "a connection from before the run was not established again");
   }
-  const Traffic& type = scenario_.traffic[static_cast<std::size_t>(request.traffic)];
+  const TrafficType& type = scenario_.traffic_types[static_cast<std::size_t>(request.traffic)];
   // A rejection tells the client that it may safely send the request again.
   if (outcome == RequestOutcome::rejected && type.effect != "idempotent" &&
       !(type.effect == "deduplicated" && type.repeat_group == "all")) {
@@ -105,7 +105,7 @@
   if (const auto stops = shutting_down_.find(request.node); stops != shutting_down_.end() && stops->second) {
     return true;
   }
-  const Traffic& type = scenario_.traffic[static_cast<std::size_t>(request.traffic)];
+  const TrafficType& type = scenario_.traffic_types[static_cast<std::size_t>(request.traffic)];
   for (const Attempt& attempt : request.attempts) {
     if (leaving_since_.count({request.node, attempt.endpoint})) {
       return true;
@@ -136,7 +136,7 @@
   report_violation(Rule::final_answer, id, when, "no answer before its deadline");
 }
 
-bool Audit::may_repeat(const Traffic& type, const Attempt& first, int endpoint, TimePoint when) const {
+bool Audit::may_repeat(const TrafficType& type, const Attempt& first, int endpoint, TimePoint when) const {
   if (type.effect == "idempotent") {
     return true;
   }
@@ -173,7 +173,7 @@
   if (request.answers > 0) {
     report_violation(Rule::final_answer, id, when, "an attempt after the final answer, at " + name);
   }
-  const Traffic& type = scenario_.traffic[static_cast<std::size_t>(request.traffic)];
+  const TrafficType& type = scenario_.traffic_types[static_cast<std::size_t>(request.traffic)];
   for (const Attempt& attempt : request.attempts) {
     const std::string& earlier = plan_.hosts[static_cast<std::size_t>(attempt.endpoint)].id;
     if (attempt.in_progress) {
--- a/src/emulator/audit/audit.h
+++ b/src/emulator/audit/audit.h
@@ -105,7 +105,7 @@
     std::vector<Attempt> attempts;
   };
   void report_violation(Rule rule, const std::string& id, TimePoint when, std::string description);
-  bool may_repeat(const Traffic& type, const Attempt& first, int endpoint, TimePoint when) const;
+  bool may_repeat(const TrafficType& type, const Attempt& first, int endpoint, TimePoint when) const;
   bool may_fail_resumed(const Request& request, TimePoint when) const;
   void report_unanswered(const std::string& id, Request& request, TimePoint when);
   TimePoint answer_deadline(const Request& request) const;
--- a/src/emulator/live/clients.cpp
+++ b/src/emulator/live/clients.cpp
@@ -71,7 +71,7 @@
 
   void prepare() override {
     clients_.resize(plan_.sessions.size());
-    nodes_.resize(static_cast<std::size_t>(scenario_.nodes));
+    nodes_.resize(static_cast<std::size_t>(scenario_.node_count));
     zone_turns_.assign(scenario_.zones.size(), 0);
     nodes_ready_by_ = loop_.now() + kNodesReadyTimeout;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -87,16 +87,16 @@
 
   void begin() override {
     for (std::size_t i = 0; i < clients_.size(); ++i) {
-      connect_at(i, was_open_before_run(i) ? 0 : from_seconds(plan_.sessions[i].arrive_s));
+      connect_at(i, was_open_before_run(i) ? 0 : from_seconds(plan_.sessions[i].arrival_s));
     }
     for (std::size_t i = 0; i < plan_.faults.size(); ++i) {
       const PlannedFault& planned = plan_.faults[i];
-      const TimePoint when = from_seconds(planned.fault.at_s);
-      if (planned.fault.kind == FaultKind::crowd) {
+      const TimePoint when = from_seconds(planned.fault.start_s);
+      if (planned.fault.kind == FaultKind::surge) {
         schedule_once(when, [this, i] { begin_surge(i); });
-        schedule_once(when + from_seconds(planned.fault.for_s), [this] { surge_connections_.clear(); });
+        schedule_once(when + from_seconds(planned.fault.duration_s), [this] { surge_connections_.clear(); });
       }
-      if (planned.fault.kind == FaultKind::drop) {
+      if (planned.fault.kind == FaultKind::disconnect) {
         schedule_once(when, [this, i] { drop_connections(i); });
       }
       if (planned.fault.kind != FaultKind::node_restarted) {
@@ -175,7 +175,7 @@
     if (std::exchange(nodes_[n].removal_due, true)) {
       return;
     }
-    schedule_once(now() + from_seconds(scenario_.notice_s), [this, n] {
+    schedule_once(now() + from_seconds(scenario_.front_detection_s), [this, n] {
       nodes_[n].receives_clients = false;
       send_ping(n);
     });
@@ -197,8 +197,8 @@
   // --- a client ---
 
   const Session& session(std::size_t i) const { return plan_.sessions[i]; }
-  const Traffic& traffic_type(std::size_t i) const {
-    return scenario_.traffic[static_cast<std::size_t>(session(i).traffic)];
+  const TrafficType& traffic_type(std::size_t i) const {
+    return scenario_.traffic_types[static_cast<std::size_t>(session(i).traffic)];
   }
 
   void connect_at(std::size_t i, TimePoint when) {
@@ -212,7 +212,7 @@
     }
     if (!client.session_begun) {
       client.session_begun = true;
-      client.session_ends_at = now() + from_seconds(session(i).life_s);
+      client.session_ends_at = now() + from_seconds(session(i).lifetime_s);
       schedule_once(client.session_ends_at, [this, i] { end_planned_session(i); });
       client.session_begun_at = now();
     }
@@ -223,7 +223,7 @@
     if (client.node < 0) {
       return connect_at(i, now() + kNoNodeRetryInterval);
     }
-    client.request_id = id_of(session(i), ++client.attempt);
+    client.request_id = request_id_of(session(i), ++client.attempt);
     client.received.clear(), client.unreturned_lines.clear();
     client.awaits_answer = true, client.request_sent = client.closing = false;
     client.request_sent_at = now();
@@ -245,7 +245,7 @@
 
   /// Opens connections that stay open and send nothing to each node that receives clients.
   void begin_surge(std::size_t fault_index) {
-    const auto connections_per_node = static_cast<std::size_t>(plan_.faults[fault_index].fault.size);
+    const auto connections_per_node = static_cast<std::size_t>(plan_.faults[fault_index].fault.magnitude);
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       for (std::size_t k = 0; nodes_[n].receives_clients && k < connections_per_node; ++k) {
         Socket silent;
@@ -258,17 +258,17 @@
   }
 
   /// Whether the client's first connection was open at an endpoint before the run.
-  bool was_open_before_run(std::size_t i) const { return static_cast<double>(i) < scenario_.resumed; }
+  bool was_open_before_run(std::size_t i) const { return static_cast<double>(i) < scenario_.resumed_clients; }
   const std::string& endpoint_before_run(std::size_t i) const {
-    const auto count = static_cast<std::size_t>(scenario_.hosts);
+    const auto count = static_cast<std::size_t>(scenario_.host_count);
     return plan_
-        .hosts[static_cast<std::size_t>(fixed_share(session(i).seed, 0xb4) * static_cast<double>(count))]
+        .hosts[static_cast<std::size_t>(stable_fraction(session(i).seed, 0xb4) * static_cast<double>(count))]
         .id;
   }
 
   std::string request_line(std::size_t i) const {
     const Session& planned_session = session(i);
-    std::string line = fmt::format("OPEN {} {} c={}", clients_[i].request_id, hex(planned_session.seed),
+    std::string line = fmt::format("OPEN {} {} c={}", clients_[i].request_id, to_hex(planned_session.seed),
                                    traffic_type(i).name);
     if (planned_session.tenant >= 0) {
       line += ",t=" + scenario_.tenants[static_cast<std::size_t>(planned_session.tenant)].name;
@@ -279,7 +279,7 @@
       line += ",at=" + endpoint_before_run(i);
     }
     if (planned_session.group >= 0) {
-      line += ",g=" + hex(XXH64(&planned_session.group, sizeof planned_session.group, 7) >> 1);
+      line += ",g=" + to_hex(XXH64(&planned_session.group, sizeof planned_session.group, 7) >> 1);
     }
     if (clients_[i].attempt > 1) {
       line += ",again=1";
@@ -292,7 +292,7 @@
     remove_node_later(static_cast<std::size_t>(client.node));
     hang_up(i);
     client.awaits_answer = false;
-    reconnect_later(i, Reply::cut, 0);
+    reconnect_later(i, Reply::disconnected, 0);
   }
 
   void on_ready(std::size_t i, short events) {
@@ -313,7 +313,7 @@
       records_.add(sending_at, RecordKind::request_sent, client.request_id, client.node, session(i).traffic,
                    resumes);
       const double longest_wait_ms = (resumes ? kResumeTimeoutMs : traffic_type(i).expiry_ms) +
-                                     scenario_.grace_to_answer_ms + scenario_.slack_ms;
+                                     scenario_.grace_to_answer_ms + scenario_.timing_slack_ms;
       schedule(client.answer_deadline, now() + from_milliseconds(longest_wait_ms) + kLateAnswerWait,
                [this, i] { give_up(i, false); });
       if (session(i).patience_ms > 0 && client.attempt == 1 && !resumes) {
@@ -348,7 +348,7 @@
       // A further line after the final answer, for which the auditor reports a violation.
       if (line != "MOVE\r\n") {
         records_.add(current_time(), RecordKind::answer_received, client.request_id,
-                     static_cast<long>(Reply::other), 0);
+                     static_cast<long>(Reply::failed), 0);
       }
       return;
     }
@@ -363,7 +363,7 @@
     const bool is_answer = line.starts_with("BUSY") || line.starts_with("ERR") || line.starts_with("UP ");
     if (returned == client.unreturned_lines.end() && is_answer) {  // a second answer
       return records_.add(current_time(), RecordKind::answer_received, client.request_id,
-                          static_cast<long>(Reply::other), 0);
+                          static_cast<long>(Reply::failed), 0);
     }
     if (returned == client.unreturned_lines.end()) {
       return records_.add(current_time(), RecordKind::line_compared, client.request_id, 0);
@@ -380,19 +380,19 @@
     Client& client = clients_[i];
     client.awaits_answer = false;
     loop_.cancel(client.answer_deadline), loop_.cancel(client.leave_due);
-    Reply reply = Reply::other;
+    Reply reply = Reply::failed;
     double retry_after_ms = 0;
     if (line == "UP " + client.request_id + "\r\n") {
-      reply = Reply::up;
+      reply = Reply::established;
     } else if (line.starts_with("BUSY")) {
-      reply = Reply::busy, retry_after_ms = line.size() > 7 ? std::strtod(line.c_str() + 5, nullptr) : 0;
+      reply = Reply::rejected, retry_after_ms = line.size() > 7 ? std::strtod(line.c_str() + 5, nullptr) : 0;
     } else if (line.starts_with("UP ")) {
       records_.add(current_time(), RecordKind::line_compared, client.request_id,
                    0);  // the answer to another request
     }
     records_.add(current_time(), RecordKind::answer_received, client.request_id, static_cast<long>(reply),
                  static_cast<long>(retry_after_ms));
-    if (reply == Reply::up) {
+    if (reply == Reply::established) {
       records_.add(current_time(), RecordKind::setup_finished, "", client.node,
                    static_cast<long>(now() - client.request_sent_at));
       client.failures = 0;
@@ -413,7 +413,7 @@
       return;
     }
     record_service(i, now());
-    const Duration interval = from_seconds(scenario_.line_every_s);
+    const Duration interval = from_seconds(scenario_.message_interval_s);
     schedule(client.line_due, now() + interval, [this, i] { send_line(i); });
     client.is_quiet = in_quiet_period();
     if (client.is_quiet) {
@@ -421,7 +421,7 @@
     }
     const std::uint64_t line_number = static_cast<std::uint64_t>(++client.line_number);
     const std::string line = fmt::format("{} {} {}\r\n", client.request_id.substr(0, 8), line_number,
-                                         hex(XXH64(&line_number, sizeof line_number, session(i).seed)));
+                                         to_hex(XXH64(&line_number, sizeof line_number, session(i).seed)));
     client.unreturned_lines.emplace_back(line, now());
     if (client.unreturned_lines.size() > kMaxUnreturnedLines) {
       client.unreturned_lines.pop_front();
@@ -433,8 +433,8 @@
   bool in_quiet_period() const {
     for (const PlannedFault& planned : plan_.faults) {
       const Fault& fault = planned.fault;
-      if (fault.kind == FaultKind::hush && now() >= from_seconds(fault.at_s) &&
-          now() < from_seconds(fault.at_s + fault.for_s)) {
+      if (fault.kind == FaultKind::quiet_period && now() >= from_seconds(fault.start_s) &&
+          now() < from_seconds(fault.start_s + fault.duration_s)) {
         return true;
       }
     }
@@ -483,7 +483,7 @@
       hang_up(i);
       client.awaits_answer = false;
       loop_.cancel(client.answer_deadline), loop_.cancel(client.leave_due);
-      reconnect_later(i, Reply::cut, 0);
+      reconnect_later(i, Reply::disconnected, 0);
       return;
     }
     hang_up(i);
@@ -497,7 +497,7 @@
     client.established = false;
     loop_.cancel(client.line_due);
     hang_up(i);
-    reconnect_later(i, end == 1 ? Reply::moved : Reply::cut, 0);
+    reconnect_later(i, end == 1 ? Reply::migrated : Reply::disconnected, 0);
   }
   void close_by_client(std::size_t i) {
     Client& client = clients_[i];
@@ -525,14 +525,14 @@
 
   void reconnect_later(std::size_t i, Reply reply, double retry_after_ms) {
     Client& client = clients_[i];
-    if (reply != Reply::cut && reply != Reply::moved) {
+    if (reply != Reply::disconnected && reply != Reply::migrated) {
       ++client.failures;
     }
     if (client.session_ended) {
       return;
     }
     const double wait_ms =
-        comes_again_ms(scenario_, session(i), reply, retry_after_ms, std::max(1, client.failures),
+        retry_delay_ms(scenario_, session(i), reply, retry_after_ms, std::max(1, client.failures),
                        static_cast<std::uint64_t>(client.attempt));
     // The connection stays open until then, so that a line after the final answer is seen.
     schedule(client.connect_due, now() + from_milliseconds(wait_ms), [this, i] {
@@ -568,11 +568,13 @@
   void drop_connections(std::size_t fault_index) {
     const Fault& fault = plan_.faults[fault_index].fault;
     for (std::size_t i = 0; i < clients_.size(); ++i) {
-      if (!clients_[i].established || fixed_share(session(i).seed, 0xd409 + fault_index) >= fault.size) {
+      if (!clients_[i].established ||
+          stable_fraction(session(i).seed, 0xd409 + fault_index) >= fault.magnitude) {
         continue;
       }
       close_by_client(i);
-      connect_at(i, now() + from_seconds(fault.for_s * fixed_share(session(i).seed, 0xd509 + fault_index)));
+      connect_at(
+          i, now() + from_seconds(fault.duration_s * stable_fraction(session(i).seed, 0xd509 + fault_index)));
     }
   }
 
--- a/src/emulator/live/endpoint_listeners.cpp
+++ b/src/emulator/live/endpoint_listeners.cpp
@@ -89,7 +89,7 @@
       }
       return;
     }
-    const double max_connections = rig_.scenario.cap * rig_.planned(endpoint).cores;
+    const double max_connections = rig_.scenario.max_connections_per_core * rig_.planned(endpoint).cores;
     if (rig_.endpoint(endpoint).open_connections >= max_connections) {
       accepted.close_with_reset();
       continue;
--- a/src/emulator/live/gather.cpp
+++ b/src/emulator/live/gather.cpp
@@ -161,8 +161,8 @@
   };
 
   bool descriptors_exhausted = false;
-  Audit audit(scenario, plan, static_cast<Duration>(scenario.slack_ms * kMs));
-  std::vector<std::vector<Duration>> setups(static_cast<std::size_t>(scenario.nodes));
+  Audit audit(scenario, plan, static_cast<Duration>(scenario.timing_slack_ms * kMs));
+  std::vector<std::vector<Duration>> setups(static_cast<std::size_t>(scenario.node_count));
   std::vector<std::vector<Duration>> lines = setups;
   for (const Record& record : records) {
     Second& second = result.second_at(to_seconds(record.when));
@@ -176,11 +176,13 @@
       case RecordKind::answer_received: {
         const auto reply = static_cast<Reply>(record.a);
         audit.on_answer_received(record.id,
-                                 reply == Reply::up     ? RequestOutcome::succeeded
-                                 : reply == Reply::busy ? RequestOutcome::rejected
-                                                        : RequestOutcome::failed,
+                                 reply == Reply::established ? RequestOutcome::succeeded
+                                 : reply == Reply::rejected  ? RequestOutcome::rejected
+                                                             : RequestOutcome::failed,
                                  record.when);
-        ++(reply == Reply::up ? second.succeeded : reply == Reply::busy ? second.rejected : second.failed);
+        ++(reply == Reply::established ? second.succeeded
+           : reply == Reply::rejected  ? second.rejected
+                                       : second.failed);
         break;
       }
       case RecordKind::client_gave_up:
@@ -204,7 +206,7 @@
         break;
       case RecordKind::value_requested:
       case RecordKind::value_served: {
-        const double value = scenario.traffic[static_cast<std::size_t>(a)].value;
+        const double value = scenario.traffic_types[static_cast<std::size_t>(a)].value;
         const bool is_served = record.kind == RecordKind::value_served;
         add_value(result, value, record.b, record.c,
                   is_served ? &Second::value_served : &Second::value_requested);
--- a/src/emulator/live/live.cpp
+++ b/src/emulator/live/live.cpp
@@ -79,7 +79,7 @@
 class LiveRun {
  public:
   LiveRun(const Scenario& scenario, const LiveOptions& options)
-      : scenario_(scenario), options_(options), plan_(plan_of(scenario, options.seed)) {
+      : scenario_(scenario), options_(options), plan_(make_plan(scenario, options.seed)) {
     for (const int number : {SIGINT, SIGTERM, SIGHUP}) {
       std::signal(number, on_signal);
     }
@@ -90,8 +90,8 @@
     std::error_code fault;
     std::filesystem::create_directories(folder_, fault);
     if (fault) {
-      throw BadInput(folder_ + ":0:0: cannot be made: " + fault.message() +
-                     "; expected a folder to write to");
+      throw InvalidInput(folder_ + ":0:0: cannot be made: " + fault.message() +
+                         "; expected a folder to write to");
     }
   }
   ~LiveRun() {
@@ -110,13 +110,13 @@
   Result run() {
     check_limits();
     double longest_deadline_ms = 0;
-    for (const Traffic& type : scenario_.traffic) {
+    for (const TrafficType& type : scenario_.traffic_types) {
       longest_deadline_ms = std::max(longest_deadline_ms, type.expiry_ms);
     }
     const double for_s = scenario_.duration_s + longest_deadline_ms / 1000 + kLateAnswersS;
     start_rig_process("hosts", run_endpoints, for_s);
     await_rig_process(0);
-    nodes_.resize(static_cast<std::size_t>(scenario_.nodes));
+    nodes_.resize(static_cast<std::size_t>(scenario_.node_count));
     samples_.resize(nodes_.size());
     for (int n = 0; n < static_cast<int>(nodes_.size()); ++n) {
       write_config(n, addresses_.list(n)), start_node(n);
@@ -175,14 +175,15 @@
   }
   // A run that runs out of descriptors would measure only that.
   void check_limits() {
-    double connections = scenario_.standing;
+    double connections = scenario_.initial_clients;
     double total_life_s = 0;
     for (const Session& session : plan_.sessions) {
-      total_life_s += session.life_s;
+      total_life_s += session.lifetime_s;
     }
     connections = std::max(connections, total_life_s / scenario_.duration_s);
     connections = std::min(connections, static_cast<double>(plan_.sessions.size()));
-    const auto needed = static_cast<int>(1.1 * connections + scenario_.hosts * scenario_.nodes * 2 + 200);
+    const auto needed =
+        static_cast<int>(1.1 * connections + scenario_.host_count * scenario_.node_count * 2 + 200);
     const int available = descriptor_limit(1 << 20);  // asks for all: the need of a burst is not known
     if (available < needed) {
       throw RunFailed(
@@ -190,16 +191,16 @@
                       "clients.standing or a higher limit",
                       needed, available));
     }
-    if (scenario_.nodes > 200 || plan_.hosts.size() > 240) {
-      throw BadInput(
+    if (scenario_.node_count > 200 || plan_.hosts.size() > 240) {
+      throw InvalidInput(
           scenario_.file + ":1:1: " +
           fmt::format(
               "{} nodes and {} hosts on sockets; expected 200 and 240 at the most, or the sim command",
-              scenario_.nodes, plan_.hosts.size()));
+              scenario_.node_count, plan_.hosts.size()));
     }
     if (access(options_.node.c_str(), X_OK) != 0) {
-      throw BadInput(options_.node +
-                     ":0:0: is no program that can be started; expected the node, --node PATH");
+      throw InvalidInput(options_.node +
+                         ":0:0: is no program that can be started; expected the node, --node PATH");
     }
   }
 
@@ -273,25 +274,26 @@
     nlohmann::json instances = nlohmann::json::array();
     for (std::size_t h = 0; h < plan_.hosts.size(); ++h) {
       const PlannedHost& host = plan_.hosts[h];
-      if (host.joins_s > 0) {
+      if (host.join_time_s > 0) {
         continue;
       }
       instances.push_back(
           {{"instanceId", host.id},
            {"hostPort", addresses_.host(static_cast<int>(h), n)},
            {"zone", scenario_.zones[static_cast<std::size_t>(host.zone)]},
-           {"machineType", scenario_.kinds[static_cast<std::size_t>(host.kind)].name},
+           {"machineType", scenario_.host_kinds[static_cast<std::size_t>(host.kind)].name},
            {"cell", h},  // one cell per host: the auditor treats the repeat group "cell" as one host
            {"lifecycle", "up"},
-           {"weight", host.size},
+           {"weight", host.nominal_size},
            {"startedAtMs", 0}});
     }
     const nlohmann::json config = {
         {"name", fmt::format("n{}", n)},
         {"listen", addresses_.node(n)},
         {"discovery", discovery},
-        {"seed", hex(options_.seed * 1000 + static_cast<std::uint64_t>(n))},
-        {"limits", {{"cores", 1.0}, {"memory_mb", scenario_.memory_mb}, {"sockets", scenario_.descriptors}}},
+        {"seed", to_hex(options_.seed * 1000 + static_cast<std::uint64_t>(n))},
+        {"limits",
+         {{"cores", 1.0}, {"memory_mb", scenario_.node_memory_mb}, {"sockets", scenario_.node_descriptors}}},
         {"known", {{"generation", 1}, {"reset", true}, {"instances", instances}}},
         {"settings", make_node_settings(scenario_, plan_, n)}};
     write_file(fmt::format("{}/node-{}.json", folder_, n), config.dump(1));
@@ -349,31 +351,32 @@
       for (const int n : planned.nodes) {
         const auto node = static_cast<std::size_t>(n);
         if (fault.kind == FaultKind::node_killed) {
-          schedule_at(fault.at_s, [this, node] {
+          schedule_at(fault.start_s, [this, node] {
             is_stopped_[node] = true;
             nodes_[node].send_signal(SIGKILL);
             records_.add(now(), RecordKind::node_killed, node);
           });
-          schedule_at(fault.at_s + fault.for_s,
+          schedule_at(fault.start_s + fault.duration_s,
                       [this, node] { nodes_[node].kill_and_wait(), start_node(static_cast<int>(node)); });
         } else if (fault.kind == FaultKind::node_restarted) {
-          schedule_at(fault.at_s, [this, node] {
+          schedule_at(fault.start_s, [this, node] {
             is_stopped_[node] = true, nodes_[node].send_signal(SIGTERM);
             records_.add(now(), RecordKind::node_shutting_down, node);
           });
-          schedule_at(fault.at_s + kSecondSignalDelayS, [this, node] { nodes_[node].send_signal(SIGTERM); });
+          schedule_at(fault.start_s + kSecondSignalDelayS,
+                      [this, node] { nodes_[node].send_signal(SIGTERM); });
           // SIGKILL comes no sooner than 0.7 s after the longest deadline, of which 3 s at most count.
           // Requests and connections that the node still holds then are lost.
           double longest_deadline_s = 0;
-          for (const Traffic& type : scenario_.traffic) {
+          for (const TrafficType& type : scenario_.traffic_types) {
             longest_deadline_s = std::max(longest_deadline_s, type.expiry_ms / 1000);
           }
           const double killed_after_s = std::min(longest_deadline_s, 3.0) + 0.7;
-          schedule_at(fault.at_s + killed_after_s, [this, node] { finish_stopped_node(node); });
-          schedule_at(fault.at_s + std::max(fault.for_s, killed_after_s + 0.1),
+          schedule_at(fault.start_s + killed_after_s, [this, node] { finish_stopped_node(node); });
+          schedule_at(fault.start_s + std::max(fault.duration_s, killed_after_s + 0.1),
                       [this, node] { start_node(static_cast<int>(node)); });
         } else if (fault.kind == FaultKind::node_reload) {
-          schedule_at(fault.at_s, [this, node] {
+          schedule_at(fault.start_s, [this, node] {
             write_config(static_cast<int>(node), addresses_.list(static_cast<int>(node)));
             nodes_[node].send_signal(SIGHUP);
           });
@@ -426,8 +429,8 @@
       const double share = std::min(1.0, static_cast<double>(now()) / kSecond / scenario_.duration_s);
       std::string active_faults;
       for (const PlannedFault& planned : plan_.faults) {
-        if (static_cast<double>(now()) / kSecond >= planned.fault.at_s &&
-            static_cast<double>(now()) / kSecond < planned.fault.at_s + planned.fault.for_s) {
+        if (static_cast<double>(now()) / kSecond >= planned.fault.start_s &&
+            static_cast<double>(now()) / kSecond < planned.fault.start_s + planned.fault.duration_s) {
           active_faults += " " + planned.fault.name;
         }
       }
--- a/src/emulator/main.cpp
+++ b/src/emulator/main.cpp
@@ -25,9 +25,9 @@
   for (const std::string& setting : settings) {
     const auto [name, values] = parse_variation(setting);
     if (values.size() != 1) {
-      throw BadInput("--set:0:0: '" + setting + "' has several values; expected NAME=VALUE");
+      throw InvalidInput("--set:0:0: '" + setting + "' has several values; expected NAME=VALUE");
     }
-    vary(scenario, name, values.front());
+    set_setting(scenario, name, values.front());
   }
   return scenario;
 }
@@ -181,7 +181,7 @@
     }
     if (*hosts_command) {
       const Scenario scenario = read_scenario(file);
-      return run_endpoints_alone(scenario, plan_of(scenario, options.seed), net, for_s, records);
+      return run_endpoints_alone(scenario, make_plan(scenario, options.seed), net, for_s, records);
     }
     if (*sweep_command) {
       for (const std::string& setting : vary) {
@@ -190,7 +190,7 @@
       std::tie(sweep.first_seed, sweep.last_seed) = parse_seeds(seeds);
       sweep.policies = split_at_commas(policies);
       if (sweep.policies.empty()) {
-        throw BadInput("--policy:0:0: names none; expected NAME,NAME");
+        throw InvalidInput("--policy:0:0: names none; expected NAME,NAME");
       }
       sweep.progress = options.progress;
       return run_sweep(sweep);
@@ -207,9 +207,9 @@
       return std::cout << html << "\n", 0;
     }
     if (*schema_command) {
-      return std::cout << reference(), 0;
+      return std::cout << settings_reference(), 0;
     }
-  } catch (const BadInput& error) {
+  } catch (const InvalidInput& error) {
     std::cerr << error.what() << "\n";
     return 2;
   } catch (const std::exception& error) {
--- a/src/emulator/report/result.cpp
+++ b/src/emulator/report/result.cpp
@@ -86,7 +86,7 @@
   }
   for (const PlannedFault& planned : plan.faults) {
     const Fault& fault = planned.fault;
-    faults.push_back({fault.name, fault.at_s, fault.at_s + fault.for_s});
+    faults.push_back({fault.name, fault.start_s, fault.start_s + fault.duration_s});
   }
 }
 
@@ -237,7 +237,7 @@
     const std::string reason = errno ? std::strerror(errno) : "no room";
     std::error_code ignored;
     std::filesystem::remove(path, ignored);
-    throw BadInput(path + ":0:0: cannot be written: " + reason + "; expected a folder with room");
+    throw InvalidInput(path + ":0:0: cannot be written: " + reason + "; expected a folder with room");
   }
 }
 
@@ -248,7 +248,8 @@
   std::error_code fault;
   std::filesystem::create_directories(folder, fault);
   if (fault) {
-    throw BadInput(folder + ":0:0: cannot be made: " + fault.message() + "; expected a folder to write to");
+    throw InvalidInput(folder + ":0:0: cannot be made: " + fault.message() +
+                       "; expected a folder to write to");
   }
   const std::string probe = folder + "/.writable";
   write_file(probe, "x\n");
--- a/src/emulator/report/result.h
+++ b/src/emulator/report/result.h
@@ -83,7 +83,7 @@
   std::string table() const;
 };
 
-/// Writes report.json and series.json into a folder, which is made if it is missing; throws BadInput that
+/// Writes report.json and series.json into a folder, which is made if it is missing; throws InvalidInput that
 /// names what cannot be written.
 void write_result(const Result& result, const std::string& folder);
 /// Throws what write_result would throw, so that a run is not begun in vain.
--- a/src/emulator/sim/client_simulator.cpp
+++ b/src/emulator/sim/client_simulator.cpp
@@ -13,7 +13,7 @@
 constexpr Duration kNoNodeRetryDelay = 500 * kMs;
 constexpr std::uint64_t kAffinityGroupHashSeed = 7;
 constexpr std::uint64_t kDisconnectDraw = 0xd409;
-constexpr std::uint64_t kReturnDraw = 0xd509;
+constexpr std::uint64_t kReconnectDraw = 0xd509;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
   client.node = node;
   client.node_incarnation = state_.nodes[*node].incarnation;
   ++client.request_number;
-  client.request_id = id_of(state_.session(event.client), client.request_number);
+  client.request_id = request_id_of(state_.session(event.client), client.request_number);
   client.answered = false;
   client.connection.reset();
   client.attempts = 0;
@@ -50,7 +50,7 @@
   const Session& session = state_.session(client);
   state_.clients[client].started = true;
   ++state_.clients_in_session[static_cast<std::size_t>(session.traffic)];
-  state_.schedule(state_.now() + from_seconds(session.life_s), SessionEnds{client});
+  state_.schedule(state_.now() + from_seconds(session.lifetime_s), SessionEnds{client});
 }
 
 // Round robin over the nodes of the client's zone, or over all nodes where that zone has none.
@@ -79,11 +79,11 @@
   const SimulatedNode& node = state_.nodes[*client.node];
   if (!node.alive || node.incarnation != client.node_incarnation) {
     client.waiting = false;
-    retry(event.client, Reply::cut, 0);
+    retry(event.client, Reply::disconnected, 0);
     return;
   }
   const Session& session = state_.session(event.client);
-  const Traffic& type = state_.traffic_type(event.client);
+  const TrafficType& type = state_.traffic_type(event.client);
   state_.audit.on_request_sent(client.request_id, static_cast<int>(*client.node), session.traffic,
                                state_.now());
   ++state_.current_second().requests;
@@ -102,7 +102,7 @@
   const SimulatedClient& client = state_.clients[index];
   const SimulatedNode& node = state_.nodes[*client.node];
   const Session& session = state_.session(index);
-  const Traffic& type = state_.traffic_type(index);
+  const TrafficType& type = state_.traffic_type(index);
   RequestAttributes request;
   request.id = client.request_id;
   request.traffic_type = type.name;
@@ -133,8 +133,8 @@
 }
 
 void ClientSimulator::handle(const ClientLeavesEarly& event) {
-  const bool answer_on_its_way = state_.clients[event.client].answered;
-  if (!waits_for(event.client, event.request_number) || answer_on_its_way) {
+  const bool answer_in_flight = state_.clients[event.client].answered;
+  if (!waits_for(event.client, event.request_number) || answer_in_flight) {
     return;
   }
   abandon_request(event.client);
@@ -157,9 +157,9 @@
   parts_.nodes.run_policy(*client.node);
 }
 
-void ClientSimulator::retry(Index index, Reply got, double retry_after_ms) {
+void ClientSimulator::retry(Index index, Reply reply, double retry_after_ms) {
   SimulatedClient& client = state_.clients[index];
-  const bool failed = got != Reply::cut && got != Reply::moved;
+  const bool failed = reply != Reply::disconnected && reply != Reply::migrated;
   if (failed) {
     ++client.failures;
   }
@@ -167,7 +167,7 @@
     return;
   }
   const double wait_ms =
-      comes_again_ms(state_.scenario, state_.session(index), got, retry_after_ms,
+      retry_delay_ms(state_.scenario, state_.session(index), reply, retry_after_ms,
                      std::max(1, client.failures), static_cast<std::uint64_t>(client.request_number));
   state_.schedule(state_.now() + from_milliseconds(wait_ms), ClientArrives{index});
 }
@@ -198,7 +198,7 @@
     return;
   }
   client.waiting = false;
-  if (event.reply == Reply::up) {
+  if (event.reply == Reply::established) {
     connect(event.client);
   } else {
     retry(event.client, event.reply, static_cast<double>(event.retry_after_ms));
@@ -206,23 +206,23 @@
 }
 
 void ClientSimulator::record_answer(const AnswerArrives& event) {
-  const std::string id = id_of(state_.session(event.client), event.request_number);
+  const std::string id = request_id_of(state_.session(event.client), event.request_number);
   switch (event.reply) {
-    case Reply::up:
+    case Reply::established:
       state_.audit.on_answer_received(id, RequestOutcome::succeeded, state_.now());
       ++state_.current_second().succeeded;
       return;
-    case Reply::busy:
+    case Reply::rejected:
       state_.audit.on_answer_received(id, RequestOutcome::rejected, state_.now());
       ++state_.current_second().rejected;
       return;
-    case Reply::other:
+    case Reply::failed:
       state_.audit.on_answer_received(id, RequestOutcome::failed, state_.now());
       ++state_.current_second().failed;
       return;
     case Reply::none:
-    case Reply::cut:
-    case Reply::moved:
+    case Reply::disconnected:
+    case Reply::migrated:
       return;
   }
 }
@@ -233,7 +233,7 @@
   state_.current_second().setup_latency.add(setup_ms);
   state_.result.setup_latency.add(setup_ms);
   if (!client.connection || state_.connections[*client.connection].closed) {
-    retry(index, Reply::cut, 0);
+    retry(index, Reply::disconnected, 0);
     return;
   }
   if (client.finished) {
@@ -248,8 +248,8 @@
 void ClientSimulator::send_answer(Index index, Reply reply, double retry_after_ms) {
   SimulatedClient& client = state_.clients[index];
   client.answered = true;
-  const bool answers_twice = state_.defect_shows(NodeDefect::answers_twice);
-  const bool drops_answer = state_.defect_shows(NodeDefect::drops_answer);
+  const bool answers_twice = state_.defect_occurs(NodeDefect::answers_twice);
+  const bool drops_answer = state_.defect_occurs(NodeDefect::drops_answer);
   const int answers = drops_answer ? 0 : answers_twice ? 2 : 1;
   for (int sent = 0; sent < answers; ++sent) {
     state_.schedule(
@@ -291,28 +291,30 @@
   state_.audit.on_connection_ended(client.request_id, how, endpoint_alive, state_.now());
   Second& second = state_.current_second();
   ++(how == ConnectionEnd::migrated ? second.migrated : second.cut);
-  const bool answer_on_its_way = !client.connected;
-  if (answer_on_its_way) {
+  const bool answer_in_flight = !client.connected;
+  if (answer_in_flight) {
     return;
   }
   stop_service(index);
   if (!client.finished) {
-    retry(index, how == ConnectionEnd::migrated ? Reply::moved : Reply::cut, 0);
+    retry(index, how == ConnectionEnd::migrated ? Reply::migrated : Reply::disconnected, 0);
   }
 }
 
 void ClientSimulator::disconnect_share(Index fault) {
-  const Fault& settings = state_.plan.faults[fault].fault;
+  const Fault& fault_settings = state_.plan.faults[fault].fault;
   for (Index client = 0; client < state_.clients.size(); ++client) {
     const std::uint64_t seed = state_.session(client).seed;
-    if (!state_.clients[client].connected || fixed_share(seed, kDisconnectDraw + fault) >= settings.size) {
+    if (!state_.clients[client].connected ||
+        stable_fraction(seed, kDisconnectDraw + fault) >= fault_settings.magnitude) {
       continue;
     }
     state_.audit.on_connection_ended(state_.clients[client].request_id, ConnectionEnd::by_client, true,
                                      state_.now());
     disconnect(client);
-    const double returns_after_s = settings.for_s * fixed_share(seed, kReturnDraw + fault);
-    state_.schedule(state_.now() + from_seconds(returns_after_s), ClientArrives{client});
+    const double reconnects_after_s =
+        fault_settings.duration_s * stable_fraction(seed, kReconnectDraw + fault);
+    state_.schedule(state_.now() + from_seconds(reconnects_after_s), ClientArrives{client});
   }
 }
 
--- a/src/emulator/sim/endpoint_list_service.cpp
+++ b/src/emulator/sim/endpoint_list_service.cpp
@@ -16,7 +16,7 @@
   return state_.nodes[node].alive && state_.nodes[node].incarnation == incarnation;
 }
 
-std::vector<EndpointEntry> EndpointListService::whole_list() const {
+std::vector<EndpointEntry> EndpointListService::complete_list() const {
   std::vector<EndpointEntry> list;
   for (Index endpoint = 0; endpoint < state_.endpoints.size(); ++endpoint) {
     if (state_.endpoints[endpoint].listed) {
@@ -33,7 +33,7 @@
           .zone = state_.scenario.zones[static_cast<std::size_t>(planned.zone)],
           .cell = planned.zone,
           .state = endpoint.published,
-          .size = planned.size,
+          .size = planned.nominal_size,
           .started = endpoint.started > 0 ? kPolicyClockAtStart + endpoint.started : 0};
 }
 
@@ -47,7 +47,7 @@
 }
 
 void EndpointListService::deliver_cached_list(Index node) {
-  const std::vector<EndpointEntry> list = whole_list();
+  const std::vector<EndpointEntry> list = complete_list();
   record_notification(node, list);
   parts_.nodes.add_event(node, EndpointsCached{list});
 }
@@ -62,7 +62,7 @@
     state_.schedule(state_.now() + kOutageTimeout, EndpointListFails{index, node.incarnation});
     return;
   }
-  const Duration response_time = state_.network.draw_delay(state_.scenario.list_call_ms);
+  const Duration response_time = state_.network.draw_delay(state_.scenario.list_response_ms);
   state_.schedule(state_.now() + response_time, EndpointListArrives{index, node.incarnation, watch});
 }
 
@@ -76,7 +76,7 @@
   }
   SimulatedNode& node = state_.nodes[event.node];
   node.watches_list = node.watches_list || event.watch;
-  const std::vector<EndpointEntry> list = whole_list();
+  const std::vector<EndpointEntry> list = complete_list();
   parts_.nodes.add_event(event.node, EndpointsSnapshot{list});
   record_notification(event.node, list);
   for (Index endpoint = 0; endpoint < state_.endpoints.size(); ++endpoint) {
@@ -131,7 +131,7 @@
       record_notification(index, changed);
       parts_.nodes.run_policy(index);
     } else if (event.state != EndpointState::healthy) {
-      const TimePoint next_poll = node.list_requested + from_seconds(state_.scenario.ask_within_s);
+      const TimePoint next_poll = node.list_requested + from_seconds(state_.scenario.list_poll_limit_s);
       state_.schedule(next_poll, PollingNodeIsNotified{index, event.endpoint});
     }
   }
--- a/src/emulator/sim/measurements.cpp
+++ b/src/emulator/sim/measurements.cpp
@@ -11,13 +11,13 @@
 
 constexpr double kServiceStepS = static_cast<double>(kServiceStep) / kSecond;
 constexpr Duration kNodeReportInterval = kSecond;
-/// Latencies over this share of the shortest message latency objective are reported.
+/// A node reports latencies above this share of the shortest message latency objective.
 constexpr double kReportedObjectiveShare = 1.0 / 3;
-/// The share of that objective that a node takes a message to need on an idle endpoint.
+/// The share of that objective that a message needs on an idle endpoint, by the estimate of a node.
 constexpr double kIdleObjectiveShare = 1.0 / 5;
-/// A health check's excess over its minimum that tells nothing.
+/// Health checks that exceed their minimum by no more are treated as noise.
 constexpr double kHealthCheckNoiseMs = 1.5;
-constexpr double kLeastHealthCheckMs = 1e-3;
+constexpr double kMinHealthCheckMs = 1e-3;
 constexpr std::size_t kHealthCheckSamples = 60;  // one a second
 
 struct WeightedQuantile {
@@ -57,14 +57,15 @@
   if (now < state_.end) {
     state_.schedule(now + kServiceStep, ServiceMeasured{});
   }
-  if (state_.defect == NodeDefect::changes_bytes && now % kSecond == 0) {
+  if (state_.defect == NodeDefect::corrupts_bytes && now % kSecond == 0) {
     corrupt_one_message();
   }
 }
 
 void Measurements::add_wanted(Service& service) const {
   for (std::size_t type = 0; type < state_.clients_in_session.size(); ++type) {
-    service.wanted += state_.clients_in_session[type] * state_.scenario.traffic[type].value * kServiceStepS;
+    service.wanted +=
+        state_.clients_in_session[type] * state_.scenario.traffic_types[type].value * kServiceStepS;
   }
 }
 
@@ -74,7 +75,7 @@
   parts_.endpoints.shed_overload(index);
   const int endpoint_zone = state_.zone_of_endpoint(index);
   for (int zone = 0; zone < static_cast<int>(state_.scenario.zones.size()); ++zone) {
-    for (std::size_t type = 0; type < state_.scenario.traffic.size(); ++type) {
+    for (std::size_t type = 0; type < state_.scenario.traffic_types.size(); ++type) {
       const int clients = endpoint.served[state_.served_position(zone, type)];
       if (clients == 0) {
         continue;
@@ -83,10 +84,10 @@
       if (!state_.is_up(index) || state_.network.cuts().responses_lost(endpoint_zone, zone)) {
         continue;
       }
-      const Traffic& traffic = state_.scenario.traffic[type];
-      const double round_trip_ms =
-          2 * (zone == endpoint_zone ? state_.scenario.same_ms : state_.scenario.cross_ms);
-      const double in_time = endpoint.model.in_time(traffic.message_goal_ms - round_trip_ms);
+      const TrafficType& traffic = state_.scenario.traffic_types[type];
+      const double round_trip_ms = 2 * (zone == endpoint_zone ? state_.scenario.same_zone_delay_ms
+                                                              : state_.scenario.cross_zone_delay_ms);
+      const double in_time = endpoint.model.share_within(traffic.message_goal_ms - round_trip_ms);
       service.served += clients * traffic.value * kServiceStepS * in_time;
       add_latencies(endpoint.model, round_trip_ms, clients, second);
     }
@@ -95,7 +96,7 @@
 
 void Measurements::add_latencies(const HostModel& model, double round_trip_ms, int clients, Second& second) {
   for (const auto& [quantile, weight] : kLatencyQuantiles) {
-    const double latency_ms = round_trip_ms + model.delay_ms(quantile);
+    const double latency_ms = round_trip_ms + model.delay_quantile_ms(quantile);
     second.message_latency.add(latency_ms, clients * weight);
     if (state_.now() <= state_.end) {
       state_.result.message_latency.add(latency_ms, clients * weight);
@@ -140,7 +141,7 @@
     if (endpoint.condition != EndpointCondition::up) {
       continue;
     }
-    endpoint.health_check_ms.push_back(endpoint.model.probe_ms());
+    endpoint.health_check_ms.push_back(endpoint.model.health_check_ms());
     if (endpoint.health_check_ms.size() > kHealthCheckSamples) {
       endpoint.health_check_ms.pop_front();
     }
@@ -155,9 +156,9 @@
       continue;
     }
     const bool same_zone = node.zone == state_.zone_of_endpoint(index);
-    const double round_trip_ms = same_zone ? 0 : 2 * state_.scenario.cross_ms;
+    const double round_trip_ms = same_zone ? 0 : 2 * state_.scenario.cross_zone_delay_ms;
     const double latency_ms =
-        std::max(endpoint.model.delay_ms(0.5) + round_trip_ms, latency_by_health_checks(index));
+        std::max(endpoint.model.delay_quantile_ms(0.5) + round_trip_ms, latency_by_health_checks(index));
     const double reported_over_ms = state_.shortest_message_objective_ms * kReportedObjectiveShare;
     const bool slow = latency_ms > reported_over_ms && node.established[index] > 0;
     if (!slow && !node.slow_endpoints[index]) {
@@ -195,17 +196,18 @@
   }
 }
 
-// The node's own estimate: the excess of the last health check over the least one of the last minute.
+// The latency that a node estimates: the excess of the last health check over the fastest one of the last
+// minute.
 double Measurements::latency_by_health_checks(Index index) const {
   const std::deque<double>& samples = state_.endpoints[index].health_check_ms;
   if (samples.empty()) {
     return 0;
   }
-  const double least = *std::min_element(samples.begin(), samples.end());
-  const double waited = samples.back() - least;
-  const double stretched = kIdleObjectiveShare * state_.shortest_message_objective_ms * samples.back() /
-                           std::max(least, kLeastHealthCheckMs);
-  return waited > kHealthCheckNoiseMs ? std::max(waited, stretched) : waited;
+  const double fastest = *std::min_element(samples.begin(), samples.end());
+  const double excess_ms = samples.back() - fastest;
+  const double scaled_objective_ms = kIdleObjectiveShare * state_.shortest_message_objective_ms *
+                                     samples.back() / std::max(fastest, kMinHealthCheckMs);
+  return excess_ms > kHealthCheckNoiseMs ? std::max(excess_ms, scaled_objective_ms) : excess_ms;
 }
 
 TimePoint Measurements::link_cut_since(const SimulatedConnection& connection) const {
@@ -213,9 +215,9 @@
   for (const PlannedFault& planned : state_.plan.faults) {
     const Fault& fault = planned.fault;
     const bool cuts_links = fault.kind == FaultKind::zone_cut || fault.kind == FaultKind::one_way;
-    if (cuts_links && from_seconds(fault.at_s) <= state_.now() &&
+    if (cuts_links && from_seconds(fault.start_s) <= state_.now() &&
         state_.responses_lost(connection.node, connection.endpoint)) {
-      since = std::max(since, from_seconds(fault.at_s));
+      since = std::max(since, from_seconds(fault.start_s));
     }
   }
   return since;
--- a/src/emulator/sim/node_simulator.cpp
+++ b/src/emulator/sim/node_simulator.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kFrontAdditionDelay = 500 * kMs;
 constexpr double kCannotServe = 1e7;  // a load that no endpoint reaches
 constexpr double kColdPenalty = 0.5;
-constexpr double kLeastCapacity = 1e-6;
+constexpr double kMinCapacity = 1e-6;
 
 }  // namespace
 
@@ -32,7 +32,8 @@
   ++node.incarnation;
   std::fill(node.established.begin(), node.established.end(), 0);
   std::fill(node.slow_endpoints.begin(), node.slow_endpoints.end(), false);
-  const nlohmann::json environment = make_node_settings(state_.scenario, state_.plan, static_cast<int>(index));
+  const nlohmann::json environment =
+      make_node_settings(state_.scenario, state_.plan, static_cast<int>(index));
   const Settings settings = parse_platform_settings(environment);
   const std::uint64_t seed =
       XXH64(&index, sizeof index, state_.seed + static_cast<std::uint64_t>(node.incarnation));
@@ -53,8 +54,8 @@
     return kCannotServe;
   }
   const HostModel& model = endpoint.model;
-  return (model.load() + model.piled_s()) / std::max(model.capacity(), kLeastCapacity) +
-         (model.cold() ? kColdPenalty : 0);
+  return (model.load() + model.backlog_s()) / std::max(model.capacity(), kMinCapacity) +
+         (model.is_cold() ? kColdPenalty : 0);
 }
 
 void NodeSimulator::add_event(Index node, PolicyEvent event) {
@@ -70,7 +71,7 @@
     const std::vector<PolicyEvent> events = std::exchange(node.pending_events, {});
     for (const PolicyAction& action :
          node.policy->handle_events(kPolicyClockAtStart + state_.now(), events)) {
-      std::visit([this, index](const auto& one) { perform(index, one); }, action);
+      std::visit([this, index](const auto& typed_action) { perform(index, typed_action); }, action);
     }
   }
   node.policy_running = false;
@@ -81,11 +82,11 @@
 }
 
 void NodeSimulator::perform(Index, const RejectRequest& action) {
-  answer(action.request_id, Reply::busy, static_cast<double>(action.retry_after / kMs));
+  answer(action.request_id, Reply::rejected, static_cast<double>(action.retry_after / kMs));
 }
 
 void NodeSimulator::perform(Index, const FailRequest& action) {
-  answer(action.request_id, Reply::other, 0);
+  answer(action.request_id, Reply::failed, 0);
 }
 
 void NodeSimulator::perform(Index node, const CheckHealth& action) {
@@ -125,7 +126,7 @@
   }
   parts_.connections.close(*connection, Outcome::cancelled, true);
   const ConnectionEnd how =
-      state_.defect == NodeDefect::cuts_off ? ConnectionEnd::cut : ConnectionEnd::migrated;
+      state_.defect == NodeDefect::closes_without_migration ? ConnectionEnd::cut : ConnectionEnd::migrated;
   parts_.clients.lose_connection(*client, how, state_.is_up(state_.connections[*connection].endpoint));
 }
 
@@ -151,7 +152,7 @@
   end_process(node);
   drop_connections(node, ConnectionEnd::node_killed);
   drop_requests(node);
-  state_.schedule(state_.now() + from_seconds(state_.scenario.notice_s), FrontChecksNode{node});
+  state_.schedule(state_.now() + from_seconds(state_.scenario.front_detection_s), FrontChecksNode{node});
 }
 
 void NodeSimulator::stop(Index index, Duration restart_after) {
@@ -230,7 +231,7 @@
       continue;
     }
     client.waiting = false;
-    parts_.clients.retry(index, Reply::cut, 0);
+    parts_.clients.retry(index, Reply::disconnected, 0);
   }
 }
 
--- a/src/emulator/soak.cpp
+++ b/src/emulator/soak.cpp
@@ -42,18 +42,18 @@
                                        "vanish", "restart", "drain",   "reset"};
 
 template <class Value, std::size_t N>
-const Value& draw_from(Stream& draws, const Value (&values)[N]) {
+const Value& draw_from(RandomStream& draws, const Value (&values)[N]) {
   return values[draws.index(N)];
 }
 
 /// A fault of a scenario in TOML, at a random time.
-std::string draw_fault(Stream& draws, const std::string& kind, int hosts, int nodes) {
+std::string draw_fault(RandomStream& draws, const std::string& kind, int hosts, int nodes) {
   std::string text = fmt::format("\n[[trouble]]\nkind = \"{}\"\n", kind);
   const bool affects_node = kind.starts_with("node_");
   const bool stops_node = kind == "node_killed" || kind == "node_restarted";
-  const double at_s = draws.between(0.0, stops_node ? kDurationS - kMinNodeStopS : kDurationS - 2);
+  const double at_s = draws.uniform(0.0, stops_node ? kDurationS - kMinNodeStopS : kDurationS - 2);
   text += fmt::format("at_s = {:.2f}\nfor_s = {:.2f}\n", at_s,
-                      stops_node ? std::min(kMinNodeStopS, kDurationS - at_s) : draws.between(0.3, 4));
+                      stops_node ? std::min(kMinNodeStopS, kDurationS - at_s) : draws.uniform(0.3, 4));
   const bool affects_endpoint =
       std::find(std::begin(kEndpointFaults), std::end(kEndpointFaults), kind) != std::end(kEndpointFaults);
   if (affects_endpoint) {
@@ -66,7 +66,7 @@
     text += fmt::format("size = {}\n", 20 + draws.index(180));
   }
   if (kind == "reset" || kind == "failing") {
-    text += fmt::format("size = {:.2f}\n", draws.between(0.05, 0.9));
+    text += fmt::format("size = {:.2f}\n", draws.uniform(0.05, 0.9));
   }
   if (kind == "zone_cut" || kind == "one_way") {
     text += "zone = \"a\"\nto = \"b\"\n";
@@ -78,7 +78,7 @@
 /// @param summary receives what is printed for the seed.
 SeedResult play_seed(const SoakOptions& soak, std::uint64_t seed, const std::string& folder,
                      std::string& summary) {
-  const Scenario scenario = scenario_of(soak_scenario_text(seed), fmt::format("soak seed {}", seed));
+  const Scenario scenario = parse_scenario(soak_scenario_text(seed), fmt::format("soak seed {}", seed));
   LiveOptions options;
   options.seed = seed, options.node = soak.node, options.out = folder;
   options.system_faults = [seed](int node) { return soak_system_faults(seed, node); };
@@ -139,13 +139,13 @@
 }
 
 std::string soak_scenario_text(std::uint64_t seed) {
-  Stream draws(seed, "soak");
+  RandomStream draws(seed, "soak");
   const int hosts = 6 + static_cast<int>(draws.index(7));
   const int nodes = 4 + static_cast<int>(draws.index(13));
   const char* const effects[] = {"idempotent", "deduplicated", "unrepeatable"};
   const char* const groups[] = {"all", "zone", "cell"};
   const char* const modes[] = {"on_request", "pushed"};
-  const bool has_surge = draws.share() < 0.3;
+  const bool has_surge = draws.next_fraction() < 0.3;
   std::string text = fmt::format(
       "name = \"soak-{}\"\nduration_s = {}\n[hosts]\ncount = {}\nper_core = 20\ncold_s = 3\n"
       "[nodes]\ncount = {}\ndescriptors = {}\n[network]\nzones = [\"a\", \"b\"]\n"
@@ -158,7 +158,7 @@
     text += fmt::format(
         "[[traffic]]\nname = \"{}\"\neffect = \"{}\"\nrepeat_group = \"{}\"\nrepeat_window_ms = {:.0f}\n"
         "expiry_ms = {:.0f}\nlatency_goal_ms = 400\nlife_s = 6\n",
-        effect, effect, draw_from(draws, groups), draws.between(600, 4000), draws.between(800, 3000));
+        effect, effect, draw_from(draws, groups), draws.uniform(600, 4000), draws.uniform(800, 3000));
   }
   const char* const kinds[] = {"silent",      "slow",        "failing",        "hang",
                                "vanish",      "restart",     "drain",          "reset",
@@ -170,8 +170,8 @@
   for (int i = 0; i < fault_count; ++i) {
     accepted.push_back(accepted.back() + draw_fault(draws, draw_from(draws, kinds), hosts, nodes));
     try {
-      scenario_of(accepted.back(), "soak");
-    } catch (const BadInput&) {
+      parse_scenario(accepted.back(), "soak");
+    } catch (const InvalidInput&) {
       accepted.pop_back();
     }  // refused: two faults stop the same process at one time
   }
@@ -183,21 +183,21 @@
 
 // Draws up to two faults for a node.
 std::string soak_system_faults(std::uint64_t seed, int node) {
-  Stream draws(seed * 1000 + static_cast<std::uint64_t>(node), "system faults");
+  RandomStream draws(seed * 1000 + static_cast<std::uint64_t>(node), "system faults");
   std::string text;
   const int connect_errors[] = {ENETUNREACH, ENOBUFS, EADDRNOTAVAIL, ECONNREFUSED, EHOSTUNREACH, EAGAIN};
   const int accept_errors[] = {ENFILE, EMFILE, ECONNABORTED, ENOBUFS, EINTR, EPROTO};
   const int socket_errors[] = {ENFILE, ENOBUFS, ENOMEM};
   const int read_errors[] = {EINTR, ENOBUFS, EAGAIN};
   for (int i = 0; i < 2; ++i) {
-    if (draws.share() < 0.4) {
+    if (draws.next_fraction() < 0.4) {
       continue;
     }
     // For a short time, at the start of the process or later.
-    const auto from_ms = draws.share() < 0.5 ? 0 : static_cast<int>(draws.between(0, 6000));
-    const int until_ms = from_ms + static_cast<int>(draws.between(50, 800));
+    const auto from_ms = draws.next_fraction() < 0.5 ? 0 : static_cast<int>(draws.uniform(0, 6000));
+    const int until_ms = from_ms + static_cast<int>(draws.uniform(50, 800));
     const std::string span =
-        fmt::format(",from_ms={},until_ms={},share={:.2f};", from_ms, until_ms, draws.between(0.1, 1));
+        fmt::format(",from_ms={},until_ms={},share={:.2f};", from_ms, until_ms, draws.uniform(0.1, 1));
     switch (draws.index(8)) {
       case 0:
       case 1:
@@ -216,7 +216,8 @@
         text += "send,short=1,share=0.5;recv,short=1,share=0.5;";
         break;
       case 6:
-        text += fmt::format("clock,step_ms={},from_ms={};", draws.share() < 0.5 ? -3600000 : 5000, from_ms);
+        text += fmt::format("clock,step_ms={},from_ms={};", draws.next_fraction() < 0.5 ? -3600000 : 5000,
+                            from_ms);
         break;
       default:
         text += "poll,errno=4,share=0.1;send,delay_ms=150,share=0.001;";
--- a/src/emulator/sweep.cpp
+++ b/src/emulator/sweep.cpp
@@ -59,7 +59,7 @@
     for (const Cell& cell : cells) {
       for (const std::string& value : values) {
         Cell& varied = extended.emplace_back(cell);
-        vary(varied.scenario, name, value);
+        set_setting(varied.scenario, name, value);
         varied.name += (varied.name.empty() ? "" : ",") + name + "=" + value;
         varied.values.emplace_back(name, value);
       }
@@ -127,7 +127,7 @@
   if (differences.empty()) {
     return interval;
   }
-  Stream draws(seed, "bootstrap");
+  RandomStream draws(seed, "bootstrap");
   const auto mean = [](const std::vector<double>& values) {
     double sum = 0;
     for (const double value : values) {
@@ -164,7 +164,7 @@
   std::vector<std::string> values =
       equals == std::string::npos ? std::vector<std::string>() : split_at_commas(text.substr(equals + 1));
   if (values.empty()) {
-    throw BadInput("--vary:0:0: '" + text + "' has no values; expected NAME=V1,V2");
+    throw InvalidInput("--vary:0:0: '" + text + "' has no values; expected NAME=V1,V2");
   }
   return {text.substr(0, equals), std::move(values)};
 }
@@ -180,7 +180,8 @@
   };
   if (!parse(first, seeds.first) || !parse(last, seeds.second) || seeds.second < seeds.first ||
       seeds.second - seeds.first > 100000) {
-    throw BadInput("--seeds:0:0: '" + text + "' is no range of seeds; expected A..B with A no larger than B");
+    throw InvalidInput("--seeds:0:0: '" + text +
+                       "' is no range of seeds; expected A..B with A no larger than B");
   }
   return seeds;
 }
@@ -249,7 +250,7 @@
     thread.join();
   }
   if (!error_text.empty()) {
-    throw BadInput(error_text);
+    throw InvalidInput(error_text);
   }
   if (interrupted) {
     std::cerr << "dapplewharf_emulator: interrupted with " << done << " of " << jobs.size()
--- a/tests/emulator/gather_test.cpp
+++ b/tests/emulator/gather_test.cpp
@@ -14,9 +14,9 @@
 TEST(Gather, EstimatesTheCostOfEachKindOfWork) {
   std::vector<std::vector<double>> work;
   std::vector<double> cpu_s;
-  Stream draws(3, "costs");
+  RandomStream draws(3, "costs");
   for (int i = 0; i < 60; ++i) {
-    work.push_back({std::floor(draws.between(0, 40)), std::floor(draws.between(0, 200)), 0.25});
+    work.push_back({std::floor(draws.uniform(0, 40)), std::floor(draws.uniform(0, 200)), 0.25});
     cpu_s.push_back(work.back()[0] * 150e-6 + work.back()[1] * 50e-6 + 0.25 * 0.02 + 1e-5 * draws.normal());
   }
   const auto costs = estimate_costs(work, cpu_s);
--- a/tests/emulator/sweep_test.cpp
+++ b/tests/emulator/sweep_test.cpp
@@ -25,11 +25,11 @@
   EXPECT_EQ(parse_seeds("3..9"), (std::pair<std::uint64_t, std::uint64_t>(3, 9)));
   EXPECT_EQ(parse_seeds("4"), (std::pair<std::uint64_t, std::uint64_t>(4, 4)));
   for (const char* malformed : {"", "a..b", "9..3", "1..", "1..999999999", "-1..2"}) {
-    EXPECT_THROW(parse_seeds(malformed), BadInput) << malformed;
+    EXPECT_THROW(parse_seeds(malformed), InvalidInput) << malformed;
   }
   EXPECT_EQ(parse_variation("a.b=1,2").second.size(), 2u);
   for (const char* malformed : {"a.b", "a.b=", "=,"}) {
-    EXPECT_THROW(parse_variation(malformed), BadInput) << malformed;
+    EXPECT_THROW(parse_variation(malformed), InvalidInput) << malformed;
   }
 }
 
