--- a/src/gossip/peer_load_table.cpp
+++ b/src/gossip/peer_load_table.cpp
@@ -1,4 +1,4 @@
-// The peer load table's messages and estimates; see gossip/peer_load_table.h.
+// The messages and estimates of the peer load table.
 #include "gossip/peer_load_table.h"
 
 #include <algorithm>
@@ -9,19 +9,19 @@
 
 constexpr int kVersion = 1;
 constexpr Duration kMaxMessageAge = 6 * kSecond;
-constexpr Duration kMaxClockLead = 2 * kSecond;  // of a sender's clock
+constexpr Duration kMaxClockLead = 2 * kSecond;  // of a sender's clock over this node's
 constexpr Duration kMinIntervalAfterChange = 200 * kMs;
 constexpr Duration kMeanInterval = 2 * kSecond;
-constexpr int kRecipientsAfterChange = 12;
-constexpr int kRecipients = 3;
-constexpr int kMinHeardNodes = 8;  // with fewer an estimate is chance
-constexpr int kMaxCount = 255;     // one byte
+constexpr int kMaxRecipientsAfterChange = 12;
+constexpr int kMaxRecipients = 3;
+constexpr int kMinNodesHeard = 8;  // an estimate from fewer nodes would be too random
+constexpr int kMaxCount = 255;     // a count has one byte
 constexpr std::size_t kMaxMessageBytes = 255;
 constexpr std::size_t kHeaderBytes = 3;
 constexpr std::size_t kEntryBytes = 3;
 constexpr std::size_t kMaxEntries = (kMaxMessageBytes - kHeaderBytes) / kEntryBytes;
-constexpr Duration kStampStep = 100 * kMs;
-constexpr std::int64_t kStamps = 65536;  // then they start again
+constexpr Duration kTimestampStep = 100 * kMs;
+constexpr std::int64_t kTimestampCount = 65536;  // two bytes; then the time stamps wrap around
 
 std::uint16_t endpoint_hash(const std::string& endpoint) {
   return static_cast<std::uint16_t>(hash(endpoint) >> 48);
@@ -59,7 +59,7 @@
     }
   }
   const std::size_t wanted =
-      std::min<std::size_t>(others.size(), changed ? kRecipientsAfterChange : kRecipients);
+      std::min<std::size_t>(others.size(), changed ? kMaxRecipientsAfterChange : kMaxRecipients);
   for (std::size_t i = 0; i < wanted; ++i) {
     std::swap(others[i], others[i + random_.next() % (others.size() - i)]);
   }
@@ -85,7 +85,7 @@
   }
   std::string out;
   append_byte(out, kVersion);
-  append_two_bytes(out, static_cast<int>(unix_now / kStampStep % kStamps));
+  append_two_bytes(out, static_cast<int>(unix_now / kTimestampStep % kTimestampCount));
   for (const auto& [count, endpoint] : entries) {
     append_two_bytes(out, endpoint);
     append_byte(out, count);
@@ -93,16 +93,16 @@
   return out;
 }
 
-std::optional<TimePoint> PeerLoadTable::time_of(int stamp, TimePoint unix_now) {
-  const std::int64_t now = unix_now / kStampStep;
-  std::int64_t age = ((now - stamp) % kStamps + kStamps) % kStamps;
-  if (age >= kStamps - kMaxClockLead / kStampStep) {
-    age -= kStamps;  // the sender's clock is ahead of this one's
+std::optional<TimePoint> PeerLoadTable::sent_time(int timestamp, TimePoint unix_now) {
+  const std::int64_t now = unix_now / kTimestampStep;
+  std::int64_t age = ((now - timestamp) % kTimestampCount + kTimestampCount) % kTimestampCount;
+  if (age >= kTimestampCount - kMaxClockLead / kTimestampStep) {
+    age -= kTimestampCount;  // the sender's clock is ahead of this one's
   }
-  if (age * kStampStep > kMaxMessageAge) {
+  if (age * kTimestampStep > kMaxMessageAge) {
     return std::nullopt;
   }
-  return (now - age) * kStampStep;
+  return (now - age) * kTimestampStep;
 }
 
 bool PeerLoadTable::receive(int from, std::string_view bytes, TimePoint unix_now) {
@@ -114,7 +114,7 @@
   if (!well_formed || byte_at(bytes, 0) != kVersion) {
     return false;
   }
-  const std::optional<TimePoint> sent_at = time_of(two_bytes_at(bytes, 1), unix_now);
+  const std::optional<TimePoint> sent_at = sent_time(two_bytes_at(bytes, 1), unix_now);
   if (!sent_at) {
     return false;
   }
@@ -133,22 +133,22 @@
 
 std::optional<double> PeerLoadTable::connections_elsewhere(const std::string& endpoint,
                                                            TimePoint unix_now) const {
-  int heard = 0;
+  int nodes_heard = 0;
   int sum = 0;
   for (const auto& [node, message] : latest_) {
     if (unix_now - message.sent_at > kMaxMessageAge) {
       continue;
     }
-    ++heard;
+    ++nodes_heard;
     const auto found = message.counts.find(endpoint_hash(endpoint));
     if (found != message.counts.end()) {
       sum += found->second;
     }
   }
-  if (heard < std::min(nodes_ - 1, kMinHeardNodes) || heard == 0) {
+  if (nodes_heard < std::min(nodes_ - 1, kMinNodesHeard) || nodes_heard == 0) {
     return std::nullopt;
   }
-  return static_cast<double>(sum) * (nodes_ - 1) / heard;
+  return static_cast<double>(sum) * (nodes_ - 1) / nodes_heard;
 }
 
 }  // namespace dapplewharf
--- a/src/node/attempt_result.cpp
+++ b/src/node/attempt_result.cpp
@@ -1,4 +1,5 @@
-// The mapping from the end of an attempt to its outcome, and the names of both. Design: docs/design.md.
+// The mapping from the result of an attempt to its outcome, and the names for the log. Design:
+// docs/design.md.
 #include "node/attempt_result.h"
 
 namespace dapplewharf {
@@ -9,7 +10,7 @@
       return Outcome::withdrawn;
     case TerminationReason::no_descriptor:
     case TerminationReason::local_failure:
-      return Outcome::not_sent;  // says nothing about the host
+      return Outcome::not_sent;  // does not count against the endpoint
     case TerminationReason::client_gone:
     case TerminationReason::cancelled:
     case TerminationReason::migrated:
--- a/src/node/byte_relay.cpp
+++ b/src/node/byte_relay.cpp
@@ -1,5 +1,5 @@
-// The way of the bytes: received from one side, read for lines, sent to the other. A client is sent complete
-// lines, so that MOVE can always stand between two. Design: docs/design.md.
+// The steps of the relay: receive from one side, parse the host's lines, send to the other side. Clients are
+// sent complete lines, so that MOVE can be sent between two lines at any time. Design: docs/design.md.
 #include "node/byte_relay.h"
 
 #include <algorithm>
@@ -9,26 +9,27 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kHalfClosedTimeout = 5 * kSecond;  // on a half-closed connection without bytes
-constexpr Duration kHostClosedTimeout = 800 * kMs;    // for the client to end what its host has ended
-constexpr std::size_t kPartialLineBytes = 32;         // of a host's line: enough to tell what it is
+constexpr Duration kHalfClosedTimeout = 5 * kSecond;  // of a half-closed connection without traffic
+constexpr Duration kHostClosedTimeout = 800 * kMs;    // for the client to close after its host has closed
+constexpr std::size_t kMaxPartialLineBytes = 32;      // of a host's line; enough to determine its type
 
-// How many of the bytes pending for the client may be sent. Lines longer than the protocol's, and what comes
-// before the host's end, go out without waiting for the end of the line.
-std::size_t sendable_to_client(const ProxiedConnection& connection) {
-  const std::size_t all = connection.client.pending.size();
+// Returns how many of the bytes pending for the client may be sent. Lines that are longer than the protocol
+// allows, and the last bytes before the host closes, are sent without waiting for the end of the line.
+std::size_t sendable_bytes_to_client(const ProxiedConnection& connection) {
+  const std::size_t pending = connection.client.pending.size();
   const std::size_t complete = connection.relay.complete_bytes;
-  const bool long_line = all - complete >= kLongestLine || (connection.relay.mid_line && complete == 0);
-  return connection.host.read_closed || long_line ? all : complete;
+  const bool has_long_line =
+      pending - complete >= kLongestLine || (connection.relay.is_mid_line && complete == 0);
+  return connection.host.is_read_closed || has_long_line ? pending : complete;
 }
 
-short events_of(const Peer& peer, const Peer& other, bool has_bytes_to_send) {
-  const bool reads = !peer.read_closed && other.pending.size() < kPeerBufferBytes;
-  return static_cast<short>((reads ? POLLIN : 0) | (has_bytes_to_send ? POLLOUT : 0));
+short poll_events_for(const Peer& peer, const Peer& other, bool has_bytes_to_send) {
+  const bool may_read = !peer.is_read_closed && other.pending.size() < kPeerBufferBytes;
+  return static_cast<short>((may_read ? POLLIN : 0) | (has_bytes_to_send ? POLLOUT : 0));
 }
 
-// Removes bytes that have been sent. An empty buffer gives its memory back: most connections are idle.
-void consume(std::string& pending, std::size_t sent) {
+// Removes bytes that have been sent. Frees the memory of an empty buffer, because most connections are idle.
+void remove_sent_bytes(std::string& pending, std::size_t sent) {
   pending.erase(0, sent);
   if (pending.empty()) {
     pending.shrink_to_fit();
@@ -45,7 +46,7 @@
   connection.relay.last_activity = loop_.now();
   connection.relay.complete_bytes = answer_bytes;
   connection.client.pending = std::exchange(connection.attempt.answer, {});
-  connection.request.line = {};  // no other attempt follows
+  connection.request.line = {};  // no further attempt needs it
 }
 
 void ByteRelay::start(Handle handle, ProxiedConnection& connection, std::size_t answer_bytes) {
@@ -55,7 +56,8 @@
   }
 }
 
-// Without the reservation a string that grows by doubling holds up to twice the bound, on every connection.
+// Without the reservation each connection's buffer, which grows by doubling, could take twice
+// `kPeerBufferBytes`.
 std::optional<std::size_t> ByteRelay::receive(const Peer& peer, std::string& buffer, bool& closed) {
   buffer.reserve(kPeerBufferBytes);
   return peer.socket.receive(buffer, kPeerBufferBytes - buffer.size(), closed);
@@ -64,16 +66,16 @@
 void ByteRelay::on_client_ready(Handle handle, ProxiedConnection& connection) {
   Peer& client = connection.client;
   const std::size_t before = connection.host.pending.size();
-  if (!client.read_closed && before < kPeerBufferBytes) {
+  if (!client.is_read_closed && before < kPeerBufferBytes) {
     bool closed = false;
     if (!receive(client, connection.host.pending, closed)) {
-      connection.relay.client_closed_first = true;
-      return reset_other(handle, connection, connection.host);
+      connection.relay.has_client_closed_first = true;
+      return reset_remaining_side(handle, connection, connection.host);
     }
     on_client_bytes(connection, before);
     if (closed) {
-      client.read_closed = true;
-      connection.relay.client_closed_first = !connection.host.read_closed;
+      client.is_read_closed = true;
+      connection.relay.has_client_closed_first = !connection.host.is_read_closed;
       start_linger(handle, connection);
     }
   }
@@ -83,18 +85,18 @@
 void ByteRelay::on_host_ready(Handle handle, ProxiedConnection& connection) {
   Peer& host = connection.host;
   const std::size_t before = connection.client.pending.size();
-  if (!host.read_closed && before < kPeerBufferBytes) {
+  if (!host.is_read_closed && before < kPeerBufferBytes) {
     bool closed = false;
     if (!receive(host, connection.client.pending, closed)) {
-      return on_host_broken(handle, connection);
+      return on_host_connection_broken(handle, connection);
     }
     if (closed) {
-      host.read_closed = true;
+      host.is_read_closed = true;
       start_linger(handle, connection);
     }
     on_host_bytes(handle, connection, before);
     if (connection.phase != ProxiedConnection::Phase::established) {
-      return;  // migrated
+      return;  // the connection has been migrated
     }
   }
   forward(handle, connection);
@@ -114,18 +116,18 @@
   RelayState& relay = connection.relay;
   counters_.bytes_to_clients += pending.size() - from;
   relay.last_activity = loop_.now();
-  for (std::size_t at = from; at < pending.size(); ++at) {
-    if (relay.partial_line.size() < kPartialLineBytes) {
-      relay.partial_line += pending[at];
+  for (std::size_t offset = from; offset < pending.size(); ++offset) {
+    if (relay.partial_line.size() < kMaxPartialLineBytes) {
+      relay.partial_line += pending[offset];
     }
-    if (pending[at] != '\n') {
+    if (pending[offset] != '\n') {
       continue;
     }
-    relay.complete_bytes = at + 1;
-    relay.mid_line = false;
+    relay.complete_bytes = offset + 1;
+    relay.is_mid_line = false;
     on_host_line(handle, connection);
     relay.partial_line.clear();
-    if (relay.migration_pending) {
+    if (relay.has_pending_migration) {
       return owner_.on_line_boundary(handle);
     }
   }
@@ -146,47 +148,48 @@
 
 void ByteRelay::forward(Handle handle, ProxiedConnection& connection) {
   if (!send_to_host(connection)) {
-    return on_host_broken(handle, connection);
+    return on_host_connection_broken(handle, connection);
   }
   if (!send_to_client(connection)) {
     RelayState& relay = connection.relay;
-    relay.client_closed_first = relay.client_closed_first || !connection.host.read_closed;
-    return reset_other(handle, connection, connection.host);
+    relay.has_client_closed_first = relay.has_client_closed_first || !connection.host.is_read_closed;
+    return reset_remaining_side(handle, connection, connection.host);
   }
-  if (connection.client.write_closed && connection.host.write_closed) {
+  if (connection.client.is_write_closed && connection.host.is_write_closed) {
     return owner_.on_finished(handle, connection);
   }
-  want_events(connection);
+  update_poll_interest(connection);
 }
 
-void ByteRelay::want_events(const ProxiedConnection& connection) {
+void ByteRelay::update_poll_interest(const ProxiedConnection& connection) {
   const Peer& client = connection.client;
   const Peer& host = connection.host;
-  loop_.update_interest(client.watched, events_of(client, host, sendable_to_client(connection) > 0));
-  loop_.update_interest(host.watched, events_of(host, client, !host.pending.empty()));
+  loop_.update_interest(client.watch_handle,
+                        poll_events_for(client, host, sendable_bytes_to_client(connection) > 0));
+  loop_.update_interest(host.watch_handle, poll_events_for(host, client, !host.pending.empty()));
 }
 
-// Returns false when the client's connection is broken.
+// Returns false if the client's connection is broken.
 bool ByteRelay::send_to_client(ProxiedConnection& connection) {
   Peer& client = connection.client;
   RelayState& relay = connection.relay;
-  const std::size_t sendable = sendable_to_client(connection);
+  const std::size_t sendable = sendable_bytes_to_client(connection);
   if (sendable > 0) {
     const auto sent = client.socket.send(client.pending.data(), sendable);
     if (!sent) {
       return false;
     }
     if (*sent > 0) {
-      relay.mid_line = client.pending[*sent - 1] != '\n' && *sent >= relay.complete_bytes;
+      relay.is_mid_line = client.pending[*sent - 1] != '\n' && *sent >= relay.complete_bytes;
       relay.complete_bytes -= std::min(relay.complete_bytes, *sent);
     }
-    consume(client.pending, *sent);
+    remove_sent_bytes(client.pending, *sent);
   }
-  pass_on_close(client, connection.host);
+  forward_close(client, connection.host);
   return true;
 }
 
-// Returns false when the host's connection is broken.
+// Returns false if the host's connection is broken.
 bool ByteRelay::send_to_host(ProxiedConnection& connection) {
   Peer& host = connection.host;
   if (!host.pending.empty()) {
@@ -194,33 +197,33 @@
     if (!sent) {
       return false;
     }
-    consume(host.pending, *sent);
+    remove_sent_bytes(host.pending, *sent);
   }
-  pass_on_close(host, connection.client);
+  forward_close(host, connection.client);
   return true;
 }
 
-// An orderly close is passed on as one, once all bytes before it are sent.
-void ByteRelay::pass_on_close(Peer& receiver, const Peer& sender) {
-  if (sender.read_closed && receiver.pending.empty() && !receiver.write_closed) {
-    receiver.write_closed = true;
+// Forwards an orderly close as an orderly close, after all bytes that precede it have been sent.
+void ByteRelay::forward_close(Peer& receiver, const Peer& sender) {
+  if (sender.is_read_closed && receiver.pending.empty() && !receiver.is_write_closed) {
+    receiver.is_write_closed = true;
     receiver.socket.shut_down_sending();
   }
 }
 
-// A host that cannot be reached from here may live and answer others, so the client is migrated; cut off
-// without MOVE it would not reconnect. What the host itself has reset ends on the client's side alike.
-void ByteRelay::on_host_broken(Handle handle, ProxiedConnection& connection) {
-  if (!is_path_broken(errno) || connection.client.write_closed) {
-    return reset_other(handle, connection, connection.client);
+// A host that this node cannot reach may still serve others, so the client is migrated; without MOVE it would
+// not reconnect. If the host itself has reset the connection, the client's connection is reset as well.
+void ByteRelay::on_host_connection_broken(Handle handle, ProxiedConnection& connection) {
+  if (!is_path_broken(errno) || connection.client.is_write_closed) {
+    return reset_remaining_side(handle, connection, connection.client);
   }
   owner_.on_host_unreachable(handle, connection);
 }
 
-// One side is broken: the other gets the bytes that are pending for it, then a reset.
-void ByteRelay::reset_other(Handle handle, ProxiedConnection& connection, Peer& other) {
-  other.socket.send_without_waiting(other.pending);
-  other.socket.close_with_reset();
+// One side is broken: the remaining side is sent its pending bytes and then reset.
+void ByteRelay::reset_remaining_side(Handle handle, ProxiedConnection& connection, Peer& remaining) {
+  remaining.socket.send_without_waiting(remaining.pending);
+  remaining.socket.close_with_reset();
   owner_.on_finished(handle, connection);
 }
 
@@ -231,29 +234,29 @@
   if (connection.relay.last_line == LineType::move) {
     return TerminationReason::migrated;
   }
-  if (connection.relay.client_closed_first) {
+  if (connection.relay.has_client_closed_first) {
     return TerminationReason::client_gone;
   }
-  return connection.host.read_closed ? TerminationReason::closed : TerminationReason::connection_broken;
+  return connection.host.is_read_closed ? TerminationReason::closed : TerminationReason::connection_broken;
 }
 
 void ByteRelay::start_linger(Handle handle, ProxiedConnection& connection) {
   if (connection.deadline.number != 0) {
     return;
   }
-  const Duration timeout = connection.host.read_closed ? kHostClosedTimeout : kHalfClosedTimeout;
-  loop_.schedule(connection.deadline, loop_.now() + timeout, [this, handle] { linger_ended(handle); });
+  const Duration timeout = connection.host.is_read_closed ? kHostClosedTimeout : kHalfClosedTimeout;
+  loop_.schedule(connection.deadline, loop_.now() + timeout, [this, handle] { on_linger_timeout(handle); });
 }
 
-// Half-closed connections that nobody ends would take all descriptors in time.
-void ByteRelay::linger_ended(Handle handle) {
+// Half-closed connections that neither side ends would eventually use up all descriptors.
+void ByteRelay::on_linger_timeout(Handle handle) {
   ProxiedConnection* connection = owner_.find(handle);
   if (!connection) {
     return;
   }
   connection->deadline = {};
-  const bool active = loop_.now() - connection->relay.last_activity < kHalfClosedTimeout;
-  if (!connection->host.read_closed && active) {
+  const bool has_recent_activity = loop_.now() - connection->relay.last_activity < kHalfClosedTimeout;
+  if (!connection->host.is_read_closed && has_recent_activity) {
     return start_linger(handle, *connection);
   }
   owner_.on_finished(handle, *connection);
--- a/src/node/client_admission.cpp
+++ b/src/node/client_admission.cpp
@@ -1,4 +1,4 @@
-// Reading of request lines before a host is chosen, and the queue of silent clients. Design: docs/design.md.
+// Parsing of request lines, and the queue of silent clients. Design: docs/design.md.
 #include "node/client_admission.h"
 
 #include <algorithm>
@@ -6,10 +6,10 @@
 namespace dapplewharf {
 namespace {
 
-constexpr int kSilentShare = 8;                     // one part in so many of the descriptors
-constexpr Duration kLineArrivesWithin = 200 * kMs;  // after the connection, from an ordinary client
-constexpr int kPingsPerTurn = 4;                    // more in one turn are a flood
-constexpr std::size_t kClosedIdsKept = 4096;
+constexpr int kSilentClientShare = 8;              // silent clients may hold one in eight of the descriptors
+constexpr Duration kRequestLineDelay = 200 * kMs;  // until an ordinary client's request line has arrived
+constexpr int kPingsPerTurn = 4;                   // of one client; more are treated as a malformed request
+constexpr std::size_t kMaxClosedIds = 4096;
 
 }  // namespace
 
@@ -18,7 +18,7 @@
   const bool complete = end != std::string::npos;
   const bool too_long = complete ? end >= kLongestLine : prefix.size() >= kLongestLine;
   if (too_long) {
-    return MalformedRequest{"too long"};
+    return MalformedRequest{"line too long"};
   }
   if (!complete) {
     return IncompleteLine{};
@@ -28,23 +28,23 @@
     prefix.erase(0, end + 1);
     return Ping{};
   }
-  ParsedRequestLine opened = parse_request_line(line, schema_);
-  if (!opened.request_line) {
-    return MalformedRequest{opened.fault};
+  ParsedRequestLine parsed = parse_request_line(line, schema_);
+  if (!parsed.request_line) {
+    return MalformedRequest{parsed.fault};
   }
-  // Hosts reject a request whose id is open already, and would then look unhealthy. Ids are new with every
-  // connection, so one that was open lately is refused as well.
-  if (is_taken(opened.request_line->id)) {
-    return MalformedRequest{"an id that is taken"};
+  // A host rejects a request whose id is already open, and its endpoint would then appear unhealthy. Clients
+  // use a new id for each connection, so recently closed ids are rejected as well.
+  if (is_id_in_use(parsed.request_line->id)) {
+    return MalformedRequest{"id already in use"};
   }
   if (end + 1 < prefix.size()) {
-    return MalformedRequest{"more behind it"};
+    return MalformedRequest{"data after the request line"};
   }
-  open_ids_.insert(opened.request_line->id);
-  return std::move(*opened.request_line);
+  open_ids_.insert(parsed.request_line->id);
+  return std::move(*parsed.request_line);
 }
 
-bool ClientAdmission::is_taken(const std::string& id) const {
+bool ClientAdmission::is_id_in_use(const std::string& id) const {
   return open_ids_.count(id) > 0 ||
          std::find(closed_ids_.begin(), closed_ids_.end(), id) != closed_ids_.end();
 }
@@ -53,7 +53,7 @@
   if (open_ids_.erase(id) > 0) {
     closed_ids_.push_back(id);
   }
-  if (closed_ids_.size() > kClosedIdsKept) {
+  if (closed_ids_.size() > kMaxClosedIds) {
     closed_ids_.pop_front();
   }
 }
@@ -71,10 +71,10 @@
 }
 
 bool ClientAdmission::silent_clients_exceed_share(TimePoint now) const {
-  if (silent_.size() < static_cast<std::size_t>(limits_.descriptors / kSilentShare)) {
+  if (silent_.size() < static_cast<std::size_t>(limits_.descriptors / kSilentClientShare)) {
     return false;
   }
-  return now - silent_.front().since >= kLineArrivesWithin;
+  return now - silent_.front().since >= kRequestLineDelay;
 }
 
 }  // namespace dapplewharf
--- a/src/node/client_admission.h
+++ b/src/node/client_admission.h
@@ -1,6 +1,6 @@
-// Decides what a new client's first bytes amount to and which silent client gives way. Owns the queue of
-// clients that have not sent a request yet, the ids of open requests and those of the latest closed ones.
-// Pure: reads no socket, the caller gives the time. Design: docs/design.md.
+// Parses the first bytes of new clients and chooses the silent client to evict when descriptors are short.
+// Owns the queue of clients that have not sent a request yet, and the ids of open and of recently closed
+// requests. Pure: it uses no sockets, and the caller passes the time. Design: docs/design.md.
 #pragma once
 #include <deque>
 #include <optional>
@@ -14,34 +14,38 @@
 
 namespace dapplewharf {
 
-/// The client's line has not come to its end yet.
+/// The end of the client's line has not been received yet.
 struct IncompleteLine {};
-/// The client asked whether the node is alive; it has been taken off the client's bytes.
+/// The client has sent PING, which has been removed from its bytes.
 struct Ping {};
-/// The client breaks the protocol, and how.
+/// The client has violated the protocol.
 struct MalformedRequest {
-  std::string reason;
+  std::string reason;  ///< for the log
 };
 using ClientMessage = std::variant<IncompleteLine, Ping, RequestLine, MalformedRequest>;
 
+/// Admits the requests of new clients and keeps track of silent clients.
 class ClientAdmission {
  public:
-  /// @param limits and `schema` are the node's own and may change between calls.
+  /// @param limits the node's own limits, which may change between calls; so may `schema`.
   ClientAdmission(const Limits& limits, const RequestSchema& schema) : limits_(limits), schema_(schema) {}
 
-  /// Reads the next message off `prefix`, the bytes that the client has sent. A request's id counts as open
-  /// from then on, until `release`.
-  /// @param pings how many messages of this client have been answered in the same turn.
+  /// Parses the next message of `prefix`, the bytes that the client has sent. The id of a request counts as
+  /// open from then on until `release`.
+  /// @param pings how many PINGs of this client have been answered in the same turn of the event loop.
   [[nodiscard]] ClientMessage next_message(std::string& prefix, int pings);
-  /// The request with this id has ended; does nothing for an id that is not open.
+  /// Ends the use of a request's id; does nothing if the id is not open.
   void release(const std::string& id);
 
-  /// The client is silent from `now` on: it is new, or has only sent PING.
+  /// Adds a client that is silent from `now` on because it is new or has sent only PING.
   void add_silent(Handle client, TimePoint now);
+  /// Removes a client from the silent ones; does nothing if it is not among them.
   void remove_silent(Handle client);
+  /// Returns the client that has been silent for the longest time.
   [[nodiscard]] std::optional<Handle> longest_silent() const;
-  /// Whether silent clients hold more descriptors than their share. Many ordinary clients that connect at
-  /// once are silent until their line has come; they are not counted against one another.
+  /// Whether silent clients hold more descriptors than their share. Returns false while all of them have
+  /// connected only recently: many ordinary clients that connect at the same time must not evict each other
+  /// before their request lines arrive.
   [[nodiscard]] bool silent_clients_exceed_share(TimePoint now) const;
 
  private:
@@ -49,13 +53,13 @@
     Handle handle;
     TimePoint since = 0;
   };
-  [[nodiscard]] bool is_taken(const std::string& id) const;
+  [[nodiscard]] bool is_id_in_use(const std::string& id) const;
 
   const Limits& limits_;
   const RequestSchema& schema_;
-  std::deque<SilentClient> silent_;  // the longest silent first
+  std::deque<SilentClient> silent_;  // ordered by `since`, the earliest first
   std::set<std::string> open_ids_;
-  std::deque<std::string> closed_ids_;  // the latest last
+  std::deque<std::string> closed_ids_;  // in the order of closing
 };
 
 }  // namespace dapplewharf
--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -1,4 +1,4 @@
-// Reading and checking of configuration files; what they say is docs/configuration.md.
+// Reading and validation of configuration files, whose contents docs/configuration.md describes.
 #include "node/configuration.h"
 
 #include <algorithm>
@@ -18,22 +18,26 @@
 namespace dapplewharf {
 namespace {
 
-constexpr double kLargestLimit = 1e7;
+constexpr double kMaxLimit = 1e7;
 
-std::string required_text(const json& from, Source source, const char* variable, const char* name) {
-  const char* value = source == Source::environment_first ? std::getenv(variable) : nullptr;
+// Returns a required text from the environment or the file. Throws if it is missing.
+std::string read_required_text(const json& from, ConfigurationSource source, const char* variable,
+                               const char* name) {
+  const char* value = source == ConfigurationSource::environment_first ? std::getenv(variable) : nullptr;
   if (value && *value) {
     return value;
   }
   if (!from.contains(name) || !from[name].is_string()) {
-    throw std::runtime_error(
-        "the configuration has no '" + std::string(name) + "'" +
-        (source == Source::environment_first ? ", nor is " + std::string(variable) + " set" : ""));
+    throw std::runtime_error("the configuration has no '" + std::string(name) + "'" +
+                             (source == ConfigurationSource::environment_first
+                                  ? ", nor is " + std::string(variable) + " set"
+                                  : ""));
   }
   return from[name].get<std::string>();
 }
 
-// A file that could not be read: it may be in the middle of being replaced, or the system short of something.
+// A file that could not be read, perhaps only for now: it may be being replaced, or the system may lack
+// resources.
 struct Unreadable : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -57,19 +61,21 @@
   return from;
 }
 
-// Where `words` first stand in a file, as "FILE:LINE:COLUMN: "; empty where they do not.
-std::string location_of(const std::string& path, const std::string& words) {
+// Returns the position of the first occurrence of `text` in a file as "FILE:LINE:COLUMN: ", or an empty
+// string.
+std::string location_of(const std::string& path, const std::string& text) {
   std::ifstream file(path);
   std::string line;
   for (int number = 1; std::getline(file, line); ++number) {
-    if (const std::size_t at = line.find(words); at != std::string::npos) {
-      return path + ":" + std::to_string(number) + ":" + std::to_string(at + 1) + ": ";
+    if (const std::size_t column = line.find(text); column != std::string::npos) {
+      return path + ":" + std::to_string(number) + ":" + std::to_string(column + 1) + ": ";
     }
   }
   return "";
 }
 
-// Throws where the retry budget is given in part only: it would be none, or one that permits nothing.
+// Throws if only some of the retry budget's settings are given: there would be no budget, or one that permits
+// no retry.
 void check_retry_budget(const json& from, const std::string& path) {
   const json guarantees = from.value("/settings/guarantees"_json_pointer, json::object());
   const char* const names[] = {"extraFloor", "repeatRatio", "countedOverMs"};
@@ -78,24 +84,25 @@
       continue;
     }
     const json& value = guarantees[name];
-    const bool span = std::string(name) == "countedOverMs";
-    std::string begin = name;
-    begin = location_of(path, '"' + begin + '"').append("'").append(begin).append("' ");
-    if (!value.is_number() || value.get<double>() < 0 || (span && value.get<double>() < 1)) {
-      throw std::runtime_error(begin + "is " + value.dump() + "; expected a number" +
-                               (span ? " of milliseconds, 1 at the least" : ", not below 0"));
+    const bool is_duration = std::string(name) == "countedOverMs";
+    std::string message_start = name;
+    message_start =
+        location_of(path, '"' + message_start + '"').append("'").append(message_start).append("' ");
+    if (!value.is_number() || value.get<double>() < 0 || (is_duration && value.get<double>() < 1)) {
+      throw std::runtime_error(message_start + "is " + value.dump() + "; expected a number" +
+                               (is_duration ? " of milliseconds, 1 at the least" : ", not below 0"));
     }
     for (const char* other : names) {
       if (!guarantees.contains(other)) {
-        throw std::runtime_error(begin + "stands without '" + other +
+        throw std::runtime_error(message_start + "stands without '" + other +
                                  "'; expected all three that ration further tries, or none");
       }
     }
   }
 }
 
-// Throws on a flag or a meaning of weights that is not one: taken for another it would let this node send to
-// hosts that are gone, or keep it from those that are not.
+// Throws on an invalid value of `weights`, `probe` or `drainBindsAlone`. Read as another value it could make
+// the node send to removed endpoints or keep it from available ones.
 void check_settings(const json& from, const std::string& path) {
   const json weights = from.value("/settings/weights"_json_pointer, json("nominal"));
   if (weights != "silent" && weights != "nominal" && weights != "rough" && weights != "live") {
@@ -115,42 +122,43 @@
   check_retry_budget(from, path);
 }
 
-// Throws the first error of a file in the language: a file is taken whole or not at all.
-config::Document load_checked(const std::string& path, config::Use use) {
+// Loads a file in the operators' language. Throws its first error: a file with errors is rejected completely.
+config::Document load_document(const std::string& path, config::Use use) {
   config::Document document = config::load(path, use);
   std::size_t errors = 0;
-  const config::Diagnostic* first = nullptr;
-  for (const config::Diagnostic& fault : document.diagnostics) {
-    if (!fault.warning && errors++ == 0) {
-      first = &fault;
+  const config::Diagnostic* first_error = nullptr;
+  for (const config::Diagnostic& diagnostic : document.diagnostics) {
+    if (!diagnostic.warning && errors++ == 0) {
+      first_error = &diagnostic;
     }
   }
-  if (!first) {
+  if (!first_error) {
     return document;
   }
   throw std::runtime_error(
-      config::format_diagnostic(document, *first, false) +
-      (errors > 1 ? " (and " + std::to_string(errors - 1) + " more; --check tells all)" : ""));
+      config::format_diagnostic(document, *first_error, false) +
+      (errors > 1 ? " (and " + std::to_string(errors - 1) + " more; --check shows all)" : ""));
 }
 
-void apply_log(const config::Document& document, LogSettings& to) {
+void apply_log_settings(const config::Document& document, LogSettings& to) {
   const config::Block* log = document.find("log");
   if (log) {
     to = {log->word("format") == "json", log->word("level"), log->word("decisions")};
   }
 }
 
-// The settings of another shape, to be watched: of a file in the language or of one like the platform's.
+// Reads the settings to be shadowed from a file in the operators' language or from a JSON file like the
+// platform's.
 json read_shadow_settings(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
-    throw std::runtime_error(path + ":0:0: the settings to watch cannot be read; expected a file");
+    throw std::runtime_error(path + ":0:0: the settings to be shadowed cannot be read; expected a file");
   }
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  const std::size_t first = text.find_first_not_of(" \t\r\n");
+  const std::size_t start = text.find_first_not_of(" \t\r\n");
   json from;
-  if (first == std::string::npos || text[first] != '{') {
-    from = config::render(load_checked(path, config::Use::sidecar));
+  if (start == std::string::npos || text[start] != '{') {
+    from = config::render(load_document(path, config::Use::sidecar));
   } else {
     try {
       from = json::parse(text);
@@ -169,13 +177,14 @@
   try {
     LoadBalancer(parse_platform_settings(from["settings"]), 0, 0);
   } catch (const std::exception& error) {
-    throw std::runtime_error(path + ":1:1: the settings to watch cannot be used: " + error.what());
+    throw std::runtime_error(path + ":1:1: the settings to be shadowed cannot be used: " + error.what());
   }
   return from["settings"];
 }
 
-// Throws where the settings lack a rule; it would otherwise be found out by the requests that break it.
-void check_usable(const json& settings) {
+// Throws if the load balancer cannot use the settings; otherwise the first requests would reveal a missing
+// rule.
+void check_load_balancer_settings(const json& settings) {
   try {
     LoadBalancer(parse_platform_settings(settings), 0, 0);
   } catch (const json::exception& error) {
@@ -183,29 +192,29 @@
   }
 }
 
-std::uint64_t seed_of(const json& from) {
+std::uint64_t parse_seed(const json& from) {
   const std::string text =
       from.contains("seed") && from["seed"].is_string() ? from["seed"].get<std::string>() : "";
   std::uint64_t seed = 0;
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-  if (fault != std::errc() || end != text.data() + text.size()) {
+  const auto [end, parse_error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+  if (parse_error != std::errc() || end != text.data() + text.size()) {
     throw std::runtime_error("the configuration has no hexadecimal 'seed'");
   }
   return seed;
 }
 
-// A limit of the process, in the unit of its name; `otherwise` where the configuration states none.
-double limit_of(const json& from, const std::string& name, double least, double otherwise) {
-  const json value = from.value(json::json_pointer("/limits/" + name), json(otherwise));
-  if (!value.is_number() || value.get<double>() < least || value.get<double>() > kLargestLimit) {
+// Returns a limit of the process in the unit of its name, or `default_value` if the configuration has none.
+double parse_limit(const json& from, const std::string& name, double min_value, double default_value) {
+  const json value = from.value(json::json_pointer("/limits/" + name), json(default_value));
+  if (!value.is_number() || value.get<double>() < min_value || value.get<double>() > kMaxLimit) {
     throw std::runtime_error("'limits." + name + "' is no number or too small to serve");
   }
   return value.get<double>();
 }
 
-// Gossip is a help and no need: what is missing or odd there leaves the node alone, and serving.
-PeerSettings peers_of(const json& from, const json& settings) {
-  PeerSettings to;
+// Gossip is optional: with missing or invalid gossip settings the node serves without gossip.
+GossipSettings parse_gossip_settings(const json& from, const json& settings) {
+  GossipSettings to;
   const bool allowed = settings.value("/bounds/peerMessages"_json_pointer, json(false)) == true;
   if (!allowed || !from.contains("peers") || !from["peers"].is_array() || !from.contains("peer_listen") ||
       !from["peer_listen"].is_string()) {
@@ -215,16 +224,16 @@
   for (const json& peer : from["peers"]) {
     to.peers.push_back(peer.is_string() ? peer.get<std::string>() : "");
   }
-  to.me = settings.contains("me") && settings["me"].is_number() ? settings["me"].get<int>() : -1;
+  to.node_index = settings.contains("me") && settings["me"].is_number() ? settings["me"].get<int>() : -1;
   return to;
 }
 
-// Throws the first thing that is wrong.
-Configuration checked(const json& from, Source source) {
+// Converts a configuration file. Throws on the first error.
+Configuration parse_configuration(const json& from, ConfigurationSource source) {
   Configuration to;
-  to.name = required_text(from, source, "PROXY_NAME", "name");
-  to.listen = required_text(from, source, "PROXY_LISTEN", "listen");
-  to.discovery = required_text(from, source, "PROXY_DISCOVERY", "discovery");
+  to.name = read_required_text(from, source, "PROXY_NAME", "name");
+  to.listen = read_required_text(from, source, "PROXY_LISTEN", "listen");
+  to.discovery = read_required_text(from, source, "PROXY_DISCOVERY", "discovery");
   if (!parse_address(to.listen)) {
     throw std::runtime_error("'listen' is no address: " + to.listen);
   }
@@ -234,47 +243,48 @@
   if (!from.contains("settings") || !from["settings"].is_object()) {
     throw std::runtime_error("the configuration has no 'settings'");
   }
-  to.env = from["settings"];
-  check_usable(to.env);
-  to.seed = seed_of(from);
+  to.settings = from["settings"];
+  check_load_balancer_settings(to.settings);
+  to.seed = parse_seed(from);
   if (from.contains("known")) {
-    to.known = from["known"];
+    to.cached_endpoint_list = from["known"];
   }
-  to.descriptors = static_cast<int>(limit_of(from, "sockets", 4 * kReservedDescriptors, to.descriptors));
-  to.memory_mb = limit_of(from, "memory_mb", 1, to.memory_mb);
-  to.peers = peers_of(from, to.env);
+  to.descriptors = static_cast<int>(parse_limit(from, "sockets", 4 * kReservedDescriptors, to.descriptors));
+  to.memory_mb = parse_limit(from, "memory_mb", 1, to.memory_mb);
+  to.gossip = parse_gossip_settings(from, to.settings);
   return to;
 }
 
 }  // namespace
 
-Read read_configuration(const Files& files, Source source) {
+ConfigurationResult read_configuration(const ConfigurationFiles& files, ConfigurationSource source) {
   try {
     LogSettings log;
     json from;
-    if (files.language.empty()) {
-      from = read_platform_file(files.json), check_settings(from, files.json);
+    if (files.operators_language.empty()) {
+      from = read_platform_file(files.platform_json), check_settings(from, files.platform_json);
     } else {
-      const config::Document document = load_checked(files.language, config::Use::sidecar);
+      const config::Document document = load_document(files.operators_language, config::Use::sidecar);
       from = config::render(document);
-      apply_log(document, log);
-      source = Source::file_only;  // the environment is the platform's
+      apply_log_settings(document, log);
+      // Environment variables belong to the platform's configuration.
+      source = ConfigurationSource::file_only;
     }
-    std::string shadow = files.shadow;
-    if (!files.operators.empty()) {
-      const config::Document document = load_checked(files.operators, config::Use::operators);
-      apply_log(document, log);
+    std::string shadow_path = files.shadow_settings;
+    if (!files.operator_settings.empty()) {
+      const config::Document document = load_document(files.operator_settings, config::Use::operators);
+      apply_log_settings(document, log);
       const config::Block* block = document.find("shadow");
-      if (block && shadow.empty()) {
-        shadow = block->word("settings");
+      if (block && shadow_path.empty()) {
+        shadow_path = block->word("settings");
       }
     }
-    Read read{checked(from, source), ""};
-    if (!shadow.empty()) {
-      read.taken->shadow = read_shadow_settings(shadow);
+    ConfigurationResult result{parse_configuration(from, source), ""};
+    if (!shadow_path.empty()) {
+      result.configuration->shadow_settings = read_shadow_settings(shadow_path);
     }
-    read.taken->log = log;
-    return read;
+    result.configuration->log = log;
+    return result;
   } catch (const Unreadable& error) {
     return {std::nullopt, error.what(), true};
   } catch (const std::exception& error) {
@@ -282,20 +292,20 @@
   }
 }
 
-Read read_configuration(const std::string& json_path, Source source) {
-  return read_configuration(Files{json_path, "", ""}, source);
+ConfigurationResult read_configuration(const std::string& platform_json, ConfigurationSource source) {
+  return read_configuration(ConfigurationFiles{platform_json, "", ""}, source);
 }
 
-std::string told_whole(const Files& files) {
+std::string format_all_diagnostics(const ConfigurationFiles& files) {
   std::string out;
-  for (const auto& [path, use] : {std::pair(files.language, config::Use::sidecar),
-                                  std::pair(files.operators, config::Use::operators)}) {
+  for (const auto& [path, use] : {std::pair(files.operators_language, config::Use::sidecar),
+                                  std::pair(files.operator_settings, config::Use::operators)}) {
     if (path.empty()) {
       continue;
     }
     const config::Document document = config::load(path, use);
-    for (const config::Diagnostic& fault : document.diagnostics) {
-      out += config::format_diagnostic(document, fault, true) + "\n";
+    for (const config::Diagnostic& diagnostic : document.diagnostics) {
+      out += config::format_diagnostic(document, diagnostic, true) + "\n";
     }
   }
   return out;
--- a/src/node/configuration.h
+++ b/src/node/configuration.h
@@ -1,6 +1,6 @@
-// What the node is told at its start and again at each SIGHUP: reads the files, checks all of them and gives
-// the result whole, or the fault in one line. Owns nothing that lasts and changes nothing of a running node.
-// Design: docs/configuration.md.
+// Reads and validates the node's configuration files, at the start and at each SIGHUP. The result is a
+// complete configuration or a one-line error message; a running node is not changed here. Design:
+// docs/configuration.md.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -11,42 +11,49 @@
 
 namespace dapplewharf {
 
+/// The node's complete configuration.
 struct Configuration {
   std::string name;
   std::string listen;     ///< a.b.c.d:port
   std::string discovery;  ///< a.b.c.d:port
   std::uint64_t seed = 0;
-  int descriptors = 1024;  ///< that this process may open
-  double memory_mb = 64;   ///< granted to this process
-  nlohmann::json known;    ///< the endpoint list as last received; null: none
-  nlohmann::json env;      ///< the settings
+  int descriptors = 1024;               ///< the most file descriptors that this process may open
+  double memory_mb = 64;                ///< memory limit of this process in MiB
+  nlohmann::json cached_endpoint_list;  ///< the endpoint list as last received; null if there is none
+  nlohmann::json settings;              ///< the platform's settings
   LogSettings log;
-  std::optional<nlohmann::json> shadow;  ///< settings to be shadowed; nothing: off
-  PeerSettings peers;                    ///< none where the platform does not permit gossip
+  std::optional<nlohmann::json> shadow_settings;  ///< settings to be shadowed; nothing if there is no shadow
+  GossipSettings gossip;                          ///< empty if the platform does not permit gossip
 };
 
-/// The files that a configuration is read from; empty: there is none.
-struct Files {
-  std::string json;       ///< the platform's
-  std::string language;   ///< in the operators' language, in place of the platform's
-  std::string operators;  ///< the operators' own settings beside either
-  std::string shadow{};   ///< settings to be shadowed, of either form; empty: what the operators' file says
+/// Paths of the files that a configuration is read from; an empty path stands for no file.
+struct ConfigurationFiles {
+  std::string platform_json;       ///< the platform's JSON file
+  std::string operators_language;  ///< a file in the operators' language that replaces the platform's file
+  std::string operator_settings;   ///< the operators' own settings, in addition to either of the above
+  /// Settings to be shadowed, as JSON or in the operators' language; if empty, the path in the operators' own
+  /// settings applies.
+  std::string shadow_settings{};
 };
 
-struct Read {
-  std::optional<Configuration> taken;
-  std::string fault;        ///< what is wrong, where there is none
-  bool unreadable = false;  ///< a file could not be read, which may pass
+/// The outcome of reading a configuration.
+struct ConfigurationResult {
+  std::optional<Configuration> configuration;
+  std::string error;           ///< why there is no configuration; empty if there is one
+  bool is_unreadable = false;  ///< a file could not be read; a later attempt may succeed
 };
 
-/// Whether the environment's variables go before the platform's file, as at the start. At a reload they are
-/// stale and only the file holds.
-enum class Source { environment_first, file_only };
-[[nodiscard]] Read read_configuration(const Files& files, Source source);
-/// Reads the platform's file alone.
-[[nodiscard]] Read read_configuration(const std::string& json, Source source);
-
-/// All faults and warnings of the files in the language, one line each, for people.
-[[nodiscard]] std::string told_whole(const Files& files);
+/// Whether environment variables take precedence over the platform's file. They do at the start; at a reload
+/// they are outdated and only the file applies.
+enum class ConfigurationSource { environment_first, file_only };
+/// Reads and validates all files.
+[[nodiscard]] ConfigurationResult read_configuration(const ConfigurationFiles& files,
+                                                     ConfigurationSource source);
+/// Reads and validates the platform's file alone.
+[[nodiscard]] ConfigurationResult read_configuration(const std::string& platform_json,
+                                                     ConfigurationSource source);
+
+/// Formats all errors and warnings of the files in the operators' language as human-readable text.
+[[nodiscard]] std::string format_all_diagnostics(const ConfigurationFiles& files);
 
 }  // namespace dapplewharf
--- a/src/node/connection_table.cpp
+++ b/src/node/connection_table.cpp
@@ -1,5 +1,5 @@
-// A connection's phases from the first byte to the end, and the joins between the parts. Design:
-// docs/design.md.
+// The phases of a connection from the client's first byte to its end, and the calls between the table's
+// components. Design: docs/design.md.
 #include "node/connection_table.h"
 
 #include <spdlog/spdlog.h>
@@ -11,10 +11,12 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kGreetingTimeout = 2 * kSecond;  // for the request line to come; three seconds are allowed
-constexpr Duration kPingedTimeout = 60 * kSecond;   // for the next line, from a client that has sent PING
-constexpr Duration kClosingTimeout = kSecond;       // for the last bytes to be taken
-constexpr std::size_t kDiscardedBytes = 64 * 1024;  // read while closing, so that the client reads why
+constexpr Duration kRequestLineTimeout = 2 * kSecond;  // to receive the request line; the protocol allows 3 s
+// Until the next line of a client that has sent PING.
+constexpr Duration kNextLineAfterPingTimeout = 60 * kSecond;
+constexpr Duration kClosingTimeout = kSecond;  // for the client to receive the last bytes
+// Read and discarded while closing, so that the client receives the answer.
+constexpr std::size_t kMaxDiscardedBytes = 64 * 1024;
 
 }  // namespace
 
@@ -31,14 +33,14 @@
       relay_(loop, counters, *this),
       limits_(limits) {}
 
-// ---- a client's first bytes ----
+// ---- until the request line is complete ----
 
 void ConnectionTable::on_accepted(Socket client) {
   if (admission_.silent_clients_exceed_share(loop_.now()) ||
       Socket::is_short_of_descriptors(limits_.descriptors, kReservedDescriptors / 2)) {
     evict_longest_silent();
   }
-  // The last descriptors are kept to answer clients; without them a client would hang unanswered.
+  // Descriptors are reserved to answer clients BUSY; without them a client would wait without an answer.
   if (Socket::is_short_of_descriptors(limits_.descriptors, kReservedDescriptors / 2)) {
     return reject_for_descriptors(client, counters_);
   }
@@ -47,37 +49,38 @@
   opened.client.socket = std::move(client);
   const Handle handle = connections_.insert(std::move(opened));
   ProxiedConnection& connection = *connections_.find(handle);
-  connection.client.watched = loop_.watch(descriptor, POLLIN, [this, handle](short) {
-    contain_faults(handle, &ConnectionTable::on_client_ready);
+  connection.client.watch_handle = loop_.watch(descriptor, POLLIN, [this, handle](short) {
+    run_contained(handle, &ConnectionTable::on_client_ready);
   });
-  start_greeting_deadline(handle, connection, kGreetingTimeout);
+  start_request_line_deadline(handle, connection, kRequestLineTimeout);
   admission_.add_silent(handle, loop_.now());
-  // Its request may have come with the connection; then it is not a silent client.
-  contain_faults(handle, &ConnectionTable::on_client_ready);
+  // The request may have arrived together with the connection; then the client is not a silent one.
+  run_contained(handle, &ConnectionTable::on_client_ready);
 }
 
-// Clients that connect and say nothing, or only PING, could take every descriptor. An ordinary client sends
-// its request at once, so the longest silent one gives way, unless it has spoken meanwhile.
+// Clients that connect and send nothing, or only PING, could use up all descriptors. An ordinary client sends
+// its request immediately, so the client that has been silent longest is evicted, unless its request has
+// arrived meanwhile.
 void ConnectionTable::evict_longest_silent() {
   while (const std::optional<Handle> handle = admission_.longest_silent()) {
-    contain_faults(*handle, &ConnectionTable::on_client_ready);
+    run_contained(*handle, &ConnectionTable::on_client_ready);
     if (admission_.longest_silent() != handle) {
       continue;
     }
     ++counters_.silent_clients_evicted;
     connections_.find(*handle)->client.socket.send_without_waiting("BUSY\r\n");
-    return drop(*handle);
+    return close_connection(*handle);
   }
 }
 
-void ConnectionTable::start_greeting_deadline(Handle handle, ProxiedConnection& connection,
-                                              Duration timeout) {
+void ConnectionTable::start_request_line_deadline(Handle handle, ProxiedConnection& connection,
+                                                  Duration timeout) {
   loop_.schedule(connection.deadline, loop_.now() + timeout, [this, handle] {
-    ProxiedConnection* late = connections_.find(handle);
-    if (late && !late->client_prefix.empty()) {
-      refuse(handle, *late, "half a line");
+    ProxiedConnection* overdue = connections_.find(handle);
+    if (overdue && !overdue->client_prefix.empty()) {
+      reject_malformed(handle, *overdue, "incomplete line");
     } else {
-      drop(handle);
+      close_connection(handle);
     }
   });
 }
@@ -92,8 +95,8 @@
     return;
   }
   switch (connection->phase) {
-    case Phase::greeting:
-    case Phase::waiting:
+    case Phase::awaiting_request:
+    case Phase::awaiting_answer:
       return read_request(handle, *connection);
     case Phase::established:
       return relay_.on_client_ready(handle, *connection);
@@ -102,44 +105,46 @@
   }
 }
 
-// Reads from a client that has not been answered yet.
+// Reads from a client whose request has not been answered yet.
 void ConnectionTable::read_request(Handle handle, ProxiedConnection& connection) {
   std::string& prefix = connection.client_prefix;
   bool closed = false;
   const auto received = connection.client.socket.receive(prefix, 2 * kLongestLine - prefix.size(), closed);
-  const bool greeting = connection.phase == Phase::greeting;
+  const bool is_awaiting_request = connection.phase == Phase::awaiting_request;
   if (!received || closed) {
-    return greeting ? on_greeting_closed(handle, connection, !received)
-                    : on_waiting_client_gone(handle, connection, !received);
+    return is_awaiting_request ? on_silent_client_closed(handle, connection, !received)
+                               : on_waiting_client_gone(handle, connection, !received);
   }
-  if (greeting) {
+  if (is_awaiting_request) {
     return read_client_messages(handle, connection);
   }
   if (prefix.empty()) {
     return;
   }
-  // A client waits for its answer. Commands sent behind the request would reach the host of that request.
+  // A client has to wait for the answer. Commands sent after the request would otherwise reach the request's
+  // host.
   observer_.on_client_left(handle);
   attempts_.end(handle, connection, TerminationReason::client_gone);
-  refuse(handle, connection, "more before its answer");
+  reject_malformed(handle, connection, "data before the answer");
 }
 
-void ConnectionTable::on_greeting_closed(Handle handle, ProxiedConnection& connection, bool broken) {
+void ConnectionTable::on_silent_client_closed(Handle handle, ProxiedConnection& connection, bool broken) {
   if (connection.client_prefix.empty() || broken) {
-    return drop(handle);
+    return close_connection(handle);
   }
-  refuse(handle, connection, "half a line");
+  reject_malformed(handle, connection, "incomplete line");
 }
 
-// The client has left, or has only ended its sending side; it gets an answer in case it still listens.
+// The client has disconnected, or has only closed its sending side; in case it still reads, it is answered
+// ERR.
 void ConnectionTable::on_waiting_client_gone(Handle handle, ProxiedConnection& connection, bool broken) {
   ++counters_.clients_left;
   observer_.on_client_left(handle);
   attempts_.end(handle, connection, TerminationReason::client_gone);
   if (broken) {
-    drop(handle);
+    close_connection(handle);
   } else {
-    close_after(handle, connection, "ERR\r\n");
+    begin_closing(handle, connection, "ERR\r\n");
   }
 }
 
@@ -153,14 +158,17 @@
     return std::visit(
         Overloaded{[](Ping) {},
                    [&](IncompleteLine) {
-                     // A client that has sent PING has longer for its request to begin, but not to end.
+                     // A client that has sent PING may start its request later, but has no more time to
+                     // complete it.
                      if (!connection.client_prefix.empty() &&
-                         connection.deadline.when > loop_.now() + kGreetingTimeout) {
-                       start_greeting_deadline(handle, connection, kGreetingTimeout);
+                         connection.deadline.when > loop_.now() + kRequestLineTimeout) {
+                       start_request_line_deadline(handle, connection, kRequestLineTimeout);
                      }
                    },
                    [&](RequestLine& request) { open_request(handle, connection, std::move(request)); },
-                   [&](const MalformedRequest& malformed) { refuse(handle, connection, malformed.reason); }},
+                   [&](const MalformedRequest& malformed) {
+                     reject_malformed(handle, connection, malformed.reason);
+                   }},
         message);
   }
 }
@@ -168,7 +176,7 @@
 void ConnectionTable::answer_ping(Handle handle, ProxiedConnection& connection) {
   ++counters_.pings_answered;
   connection.client.socket.send_without_waiting("PONG\r\n");
-  start_greeting_deadline(handle, connection, kPingedTimeout);
+  start_request_line_deadline(handle, connection, kNextLineAfterPingTimeout);
   admission_.remove_silent(handle);
   admission_.add_silent(handle, loop_.now());
 }
@@ -177,18 +185,19 @@
   connection.client_prefix = {};
   connection.request = std::move(request);
   admission_.remove_silent(handle);
-  connection.phase = Phase::waiting;
+  connection.phase = Phase::awaiting_answer;
   loop_.cancel(connection.deadline);
   ++counters_.requests_received;
   observer_.on_request(handle, connection.request);
 }
 
-void ConnectionTable::refuse(Handle handle, ProxiedConnection& connection, const std::string& reason) {
+void ConnectionTable::reject_malformed(Handle handle, ProxiedConnection& connection,
+                                       const std::string& reason) {
   ++counters_.malformed_requests;
   if (log_limit_.allow()) {
     spdlog::warn("malformed_request reason=\"{}\"", reason);
   }
-  close_after(handle, connection, "ERR\r\n");
+  begin_closing(handle, connection, "ERR\r\n");
 }
 
 // ---- attempts and established connections ----
@@ -199,7 +208,7 @@
 
 void ConnectionTable::cancel_attempt(Handle handle) {
   ProxiedConnection* connection = connections_.find(handle);
-  if (connection && connection->phase == Phase::waiting) {
+  if (connection && connection->phase == Phase::awaiting_answer) {
     attempts_.end(handle, *connection, TerminationReason::cancelled);
   }
 }
@@ -210,15 +219,15 @@
 }
 
 void ConnectionTable::on_host_ready(Handle handle) {
-  contain_faults(handle, &ConnectionTable::continue_with_host);
+  run_contained(handle, &ConnectionTable::handle_host_ready);
 }
 
-void ConnectionTable::continue_with_host(Handle handle) {
+void ConnectionTable::handle_host_ready(Handle handle) {
   ProxiedConnection* connection = connections_.find(handle);
   if (!connection || !connection->host.socket) {
     return;
   }
-  if (connection->phase == Phase::waiting) {
+  if (connection->phase == Phase::awaiting_answer) {
     attempts_.on_host_ready(handle, *connection);
   } else {
     relay_.on_host_ready(handle, *connection);
@@ -229,7 +238,7 @@
                                              std::size_t answer_bytes) {
   ++counters_.requests_succeeded;
   relay_.establish(connection, answer_bytes);
-  if (connection.host.read_closed) {
+  if (connection.host.is_read_closed) {
     relay_.start_linger(handle, connection);
   }
   observer_.on_established(handle);
@@ -258,11 +267,11 @@
 
 void ConnectionTable::on_finished(Handle handle, ProxiedConnection& connection) {
   attempts_.end(handle, connection, ByteRelay::termination_reason(connection));
-  drop(handle);
+  close_connection(handle);
 }
 
-// An exception that one connection's bytes lead to ends that connection and no other.
-void ConnectionTable::contain_faults(Handle handle, void (ConnectionTable::*step)(Handle)) {
+// An exception that is thrown while one connection is handled ends only that connection.
+void ConnectionTable::run_contained(Handle handle, void (ConnectionTable::*step)(Handle)) {
   try {
     (this->*step)(handle);
   } catch (const std::exception& error) {
@@ -271,53 +280,57 @@
     if (!connection) {
       return;
     }
-    if (connection->phase == Phase::waiting) {
-      observer_.on_client_left(handle);  // nobody is left to be answered
+    if (connection->phase == Phase::awaiting_answer) {
+      observer_.on_client_left(handle);  // the client can no longer be answered
     }
     on_finished(handle, *connection);
   }
 }
 
-// ---- final answers and the end ----
+// ---- final answers and closing ----
 
 void ConnectionTable::answer(Handle handle, const std::string& line) {
   ProxiedConnection* connection = connections_.find(handle);
-  if (!connection || connection->phase != Phase::waiting) {
+  if (!connection || connection->phase != Phase::awaiting_answer) {
     return;
   }
   attempts_.end(handle, *connection, TerminationReason::cancelled);
-  close_after(handle, *connection, line);
+  begin_closing(handle, *connection, line);
 }
 
 void ConnectionTable::migrate(Handle handle) {
   ProxiedConnection* connection = connections_.find(handle);
-  if (connection && connection->phase == Phase::waiting) {  // adopted and not established again yet
-    connection->attempt.active = false;
-    return close_after(handle, *connection, "MOVE\r\n");
+  if (connection && connection->phase == Phase::awaiting_answer) {  // adopted, not established again yet
+    connection->attempt.is_active = false;
+    return begin_closing(handle, *connection, "MOVE\r\n");
   }
   if (!connection || connection->phase != Phase::established) {
     return;
   }
   RelayState& relay = connection->relay;
-  if (relay.mid_line && !relay.migration_pending) {  // MOVE within a line would be a part of that line
-    relay.migration_pending = true;
+  // MOVE in the middle of a line would become part of that line.
+  if (relay.is_mid_line && !relay.has_pending_migration) {
+    relay.has_pending_migration = true;
     return loop_.schedule(connection->deadline, loop_.now() + kClosingTimeout,
-                          [this, handle] { drop(handle); });
+                          [this, handle] { close_connection(handle); });
   }
-  connection->attempt.active = false;
+  connection->attempt.is_active = false;
   connection->client.pending.resize(relay.complete_bytes);
-  close_after(handle, *connection, connection->client.write_closed ? "" : "MOVE\r\n");
+  begin_closing(handle, *connection, connection->client.is_write_closed ? "" : "MOVE\r\n");
 }
 
-// Waits for the client's end: closing with unread bytes resets the connection and the answer would be lost.
-void ConnectionTable::close_after(Handle handle, ProxiedConnection& connection, const std::string& line) {
+// Sends `last_line` and waits for the client to close: closing a socket with unread bytes would reset the
+// connection, and the answer would be lost.
+void ConnectionTable::begin_closing(Handle handle, ProxiedConnection& connection,
+                                    const std::string& last_line) {
   connection.phase = Phase::closing;
   admission_.remove_silent(handle);
   attempts_.close_host(connection);
   connection.client_prefix = {};
   connection.request.line = {};
-  connection.client.pending += line;
-  loop_.schedule(connection.deadline, loop_.now() + kClosingTimeout, [this, handle] { drop(handle); });
+  connection.client.pending += last_line;
+  loop_.schedule(connection.deadline, loop_.now() + kClosingTimeout,
+                 [this, handle] { close_connection(handle); });
   send_last_bytes(handle, connection);
 }
 
@@ -326,50 +339,51 @@
   if (!client.pending.empty()) {
     const auto sent = client.socket.send(client.pending.data(), client.pending.size());
     if (!sent) {
-      return drop(handle);
+      return close_connection(handle);
     }
     client.pending.erase(0, *sent);
   }
-  if (client.pending.empty() && !client.write_closed) {
-    client.write_closed = true;
+  if (client.pending.empty() && !client.is_write_closed) {
+    client.is_write_closed = true;
     client.socket.shut_down_sending();
   }
-  if (client.pending.empty() && client.read_closed) {
-    return drop(handle);
+  if (client.pending.empty() && client.is_read_closed) {
+    return close_connection(handle);
   }
-  loop_.update_interest(client.watched, client.pending.empty() ? POLLIN : POLLIN | POLLOUT);
+  loop_.update_interest(client.watch_handle, client.pending.empty() ? POLLIN : POLLIN | POLLOUT);
 }
 
-// A client that goes on sending is cut off after a bounded number of bytes: reading them costs turns.
+// A client that keeps sending is disconnected after `kMaxDiscardedBytes`, because reading them takes time
+// from other connections.
 void ConnectionTable::discard_input(Handle handle, ProxiedConnection& connection) {
-  std::string ignored;
+  std::string discarded;
   bool closed = false;
-  const auto received = connection.client.socket.receive(ignored, kPeerBufferBytes, closed);
+  const auto received = connection.client.socket.receive(discarded, kPeerBufferBytes, closed);
   connection.discarded_bytes += received.value_or(0);
-  if (!received || closed || connection.discarded_bytes > kDiscardedBytes) {
-    return drop(handle);
+  if (!received || closed || connection.discarded_bytes > kMaxDiscardedBytes) {
+    return close_connection(handle);
   }
   send_last_bytes(handle, connection);
 }
 
-void ConnectionTable::drop(Handle handle) {
+void ConnectionTable::close_connection(Handle handle) {
   ProxiedConnection* connection = connections_.find(handle);
   if (!connection) {
     return;
   }
   loop_.cancel(connection->deadline);
-  loop_.unwatch(connection->client.watched);
-  loop_.unwatch(connection->host.watched);
+  loop_.unwatch(connection->client.watch_handle);
+  loop_.unwatch(connection->host.watch_handle);
   admission_.remove_silent(handle);
   admission_.release(connection->request.id);
   connections_.erase(handle);
 }
 
-std::size_t ConnectionTable::busy() {
+std::size_t ConnectionTable::active_count() {
   std::size_t count = 0;
   connections_.for_each([&](Handle, const ProxiedConnection& connection) {
-    const bool idle = connection.phase == Phase::greeting && connection.client_prefix.empty();
-    count += idle ? 0 : 1;
+    const bool is_silent = connection.phase == Phase::awaiting_request && connection.client_prefix.empty();
+    count += is_silent ? 0 : 1;
   });
   return count;
 }
--- a/src/node/connection_table.h
+++ b/src/node/connection_table.h
@@ -1,7 +1,7 @@
-// Clients' connections, each with at most one connection to a host. Owns all of them and joins the listener,
-// the admission of clients, the attempts on hosts and the byte relay; sends the final answers. Tells its
-// observer what happened and does what it is told; never chooses a host, a further attempt or an answer.
-// Design: docs/design.md.
+// The table of client connections, each with at most one connection to a host. Owns all connections, connects
+// the listener, client admission, upstream attempts and byte relay with each other, and sends the final
+// answers. It notifies its observer of what happens; the choice of hosts, retries and answers is left to its
+// caller. Design: docs/design.md.
 #pragma once
 #include <optional>
 #include <string>
@@ -18,19 +18,19 @@
 
 namespace dapplewharf {
 
-/// Is told what happens to connections. Handles stay valid until the connection ends.
+/// Receives notifications about connections. A handle stays valid until its connection ends.
 class ConnectionObserver {
  public:
   virtual ~ConnectionObserver() = default;
-  /// A client wants a connection to a host.
+  /// A client has sent a request.
   virtual void on_request(Handle handle, const RequestLine& request) = 0;
-  /// The client left before it had its answer.
+  /// The client has disconnected before the final answer.
   virtual void on_client_left(Handle handle) = 0;
-  /// The host has answered UP; the client has the answer.
+  /// The host has answered UP, and the answer is queued for the client.
   virtual void on_established(Handle handle) = 0;
-  /// The attempt or the connection that it became has ended; told once for each attempt.
+  /// The attempt, or the connection established by it, has ended; called once per attempt.
   virtual void on_attempt_ended(Handle handle, AttemptResult result) = 0;
-  /// Whether what permitted the attempt still holds, asked just before its first byte is sent.
+  /// Whether the attempt is still permitted; called just before its first byte is sent.
   [[nodiscard]] virtual bool may_send(Handle handle) = 0;
   /// The host has answered a client's line after `latency`, in ticks of 0.1 ms.
   virtual void on_line_answered(Handle handle, Duration latency) = 0;
@@ -38,35 +38,38 @@
   virtual void on_load_reported(Handle handle, double load) = 0;
 };
 
+/// Owns all client connections and their connections to hosts.
 class ConnectionTable : private AttemptOwner, private RelayOwner {
  public:
-  /// @param limits and `schema` are the node's own and may change between calls.
+  /// @param limits the node's own limits, which may change between calls; so may `schema`.
   ConnectionTable(EventLoop& loop, Counters& counters, const Limits& limits, const RequestSchema& schema,
                   ConnectionObserver& observer);
 
-  /// Starts to listen at `address`. Returns what went wrong, if anything.
+  /// Starts listening at `address`. Returns an error message on failure, otherwise nothing.
   std::optional<std::string> listen(const sockaddr_in& address) { return listener_.listen(address); }
-  /// Begins an attempt of a waiting client that has none in progress.
+  /// Begins an attempt for a client that awaits its answer and has no attempt in progress.
   void begin_attempt(Handle handle, const AttemptParameters& parameters);
-  /// Cancels the attempt of a waiting client.
+  /// Cancels the attempt of a client that awaits its answer.
   void cancel_attempt(Handle handle);
-  /// Sends the final answer to a waiting client; nothing follows it.
-  /// @param line with its end.
+  /// Sends the final answer to a client that awaits it, then closes the connection.
+  /// @param line including its line end.
   void answer(Handle handle, const std::string& line);
-  /// Tells the client to reconnect elsewhere, between two lines.
+  /// Sends MOVE between two lines, which asks the client to reconnect elsewhere.
   void migrate(Handle handle);
-  /// Attempts in progress last no longer than until `deadline`.
+  /// Brings the deadlines of attempts in progress forward to `deadline` at the latest.
   void shorten_attempts(TimePoint deadline);
 
-  [[nodiscard]] std::size_t open() const { return connections_.size(); }
-  /// Connections of clients that have sent a request, or begun to.
-  [[nodiscard]] std::size_t busy();
-  /// Accepts whoever waits; whether there was anybody, or may be because accept failed.
+  /// The number of client connections.
+  [[nodiscard]] std::size_t count() const { return connections_.size(); }
+  /// The number of clients that have sent a request or the beginning of one.
+  [[nodiscard]] std::size_t active_count();
+  /// Accepts the clients in the accept queue. Returns whether there were any, or may be some because accept
+  /// failed.
   bool accept_pending() { return listener_.accept_pending(); }
-  /// Calls `visit(handle, unanswered)` for each established connection with how long its client has waited
-  /// for an answer to a line; 0 when it does not wait.
+  /// Calls `visit(handle, unanswered)` for each established connection. `unanswered` is how long its client
+  /// has been waiting for the answer to a line, in ticks of 0.1 ms; 0 if it is not waiting.
   template <class Visit>
-  void each_established(Visit visit) {
+  void for_each_established(Visit visit) {
     connections_.for_each([&](Handle handle, const ProxiedConnection& connection) {
       if (connection.phase == Phase::established) {
         visit(handle, loop_.now() - connection.relay.request_sent_at.value_or(loop_.now()));
@@ -98,16 +101,16 @@
   void read_client_messages(Handle handle, ProxiedConnection& connection);
   void answer_ping(Handle handle, ProxiedConnection& connection);
   void open_request(Handle handle, ProxiedConnection& connection, RequestLine request);
-  void on_greeting_closed(Handle handle, ProxiedConnection& connection, bool broken);
+  void on_silent_client_closed(Handle handle, ProxiedConnection& connection, bool broken);
   void on_waiting_client_gone(Handle handle, ProxiedConnection& connection, bool broken);
-  void start_greeting_deadline(Handle handle, ProxiedConnection& connection, Duration timeout);
-  void refuse(Handle handle, ProxiedConnection& connection, const std::string& reason);
-  void close_after(Handle handle, ProxiedConnection& connection, const std::string& line);
+  void start_request_line_deadline(Handle handle, ProxiedConnection& connection, Duration timeout);
+  void reject_malformed(Handle handle, ProxiedConnection& connection, const std::string& reason);
+  void begin_closing(Handle handle, ProxiedConnection& connection, const std::string& last_line);
   void send_last_bytes(Handle handle, ProxiedConnection& connection);
   void discard_input(Handle handle, ProxiedConnection& connection);
-  void drop(Handle handle);
-  void contain_faults(Handle handle, void (ConnectionTable::*step)(Handle));
-  void continue_with_host(Handle handle);
+  void close_connection(Handle handle);
+  void run_contained(Handle handle, void (ConnectionTable::*step)(Handle));
+  void handle_host_ready(Handle handle);
 
   EventLoop& loop_;
   Counters& counters_;
--- a/src/node/endpoint_directory.h
+++ b/src/node/endpoint_directory.h
@@ -1,6 +1,6 @@
-// What the node knows of each endpoint (host), beyond the load balancer's own view. Owns one record an
-// endpoint: address, location, whether it is draining or removed, and the latency estimate. Pure: the caller
-// gives lists and times. Design: docs/design.md.
+// The node's record of each endpoint, separate from the load balancer's: address, location, whether it is
+// draining or removed, and the latency estimate. Pure: the caller passes endpoint lists and times. Design:
+// docs/design.md.
 #pragma once
 #include <map>
 #include <optional>
@@ -13,64 +13,66 @@
 
 namespace dapplewharf {
 
-/// One endpoint as this node knows it.
+/// The record of one endpoint.
 struct EndpointRecord {
-  std::string address;                       ///< "a.b.c.d:port"; empty while no list has given one
-  std::optional<EndpointLocation> location;  ///< nothing while no list has named the endpoint
-  std::optional<EndpointState> leaving;      ///< draining or removed; nothing while neither
-  std::optional<double> size_in_own_zone;    ///< only of endpoints in this node's zone
+  std::string address;                         ///< "a.b.c.d:port"; empty if no list has named one
+  std::optional<EndpointLocation> location;    ///< nothing if no list has named the endpoint
+  std::optional<EndpointState> leaving_state;  ///< draining or removed; nothing if neither
+  std::optional<double> size_in_own_zone;      ///< only for endpoints in this node's zone
   std::optional<LatencyEstimator> latency;
-  /// Connections that all other nodes hold there, as last reported to the load balancer.
+  /// The number of connections that all other nodes hold there, as last reported to the load balancer.
   std::optional<double> connections_elsewhere;
 };
 
-/// What a node may want to send to an endpoint.
+/// The purpose for which an endpoint is to be used.
 enum class EndpointUse {
-  new_request,     ///< a client's request that no endpoint has seen
-  reconnect_later  ///< another attempt for an adopted connection, which belongs to this endpoint alone
+  new_request,  ///< a client's request that has not been sent to any endpoint
+  reconnect     ///< another attempt for an adopted connection, which belongs to this endpoint alone
 };
 
+/// The records of all endpoints.
 class EndpointDirectory {
  public:
-  /// Takes in an endpoint list. Returns the endpoints that must not be health-checked any more, the draining
-  /// ones first; an endpoint may stand there twice.
+  /// Applies an endpoint list. Returns the endpoints that must no longer be health-checked, the draining ones
+  /// first; an endpoint may be returned twice.
   std::vector<std::string> apply(const EndpointSnapshot& list, const std::string& own_zone);
-  /// Whether `use` of the endpoint is permitted by what the lists say. The only place that decides whether
-  /// something may still go to a draining or removed endpoint.
-  [[nodiscard]] bool permits(const std::string& host, EndpointUse use) const;
-  /// @param only_draining_binds the setting `drainBindsAlone`: a removed endpoint may still be used.
+  /// Whether the endpoint lists permit `use` of the endpoint. This is the only place that decides what may
+  /// still be sent to a draining or removed endpoint.
+  [[nodiscard]] bool permits(const std::string& endpoint, EndpointUse use) const;
+  /// @param only_draining_binds the setting `drainBindsAlone`: if true, removed endpoints may still be used.
   void set_only_draining_binds(bool only_draining_binds) { only_draining_binds_ = only_draining_binds; }
 
-  /// Empty where no list has given an address.
-  [[nodiscard]] std::string address(const std::string& host) const;
-  /// Without zone and in cell 0 where no list has named the endpoint.
-  [[nodiscard]] EndpointLocation location(const std::string& host) const;
+  /// The address of an endpoint; empty if no list has named one.
+  [[nodiscard]] std::string address(const std::string& endpoint) const;
+  /// The location of an endpoint; without a zone and in cell 0 if no list has named the endpoint.
+  [[nodiscard]] EndpointLocation location(const std::string& endpoint) const;
 
-  /// The latency estimator of an endpoint, made when there is none.
-  LatencyEstimator& latency(const std::string& host);
-  /// Endpoints that have a latency estimator, by name.
-  [[nodiscard]] std::vector<std::string> measured() const;
-  /// The longest that a health check takes at each endpoint of the own zone while it is idle, in ticks of
-  /// 0.1 ms; worked out from all of them.
+  /// The latency estimator of an endpoint; created if there is none.
+  LatencyEstimator& latency(const std::string& endpoint);
+  /// The endpoints that have a latency estimator, in the order of their names.
+  [[nodiscard]] std::vector<std::string> with_latency_estimates() const;
+  /// For each endpoint in this node's zone, the longest time that a health check takes while the endpoint is
+  /// idle, in ticks of 0.1 ms; estimated from the health checks of all of these endpoints.
   [[nodiscard]] std::map<std::string, Duration> idle_health_check_times() const;
-  /// The node is in another zone from now on: the next list says which endpoints are there too.
-  void leave_zone();
+  /// Forgets which endpoints are in the node's zone, because the node is now in another zone; the next list
+  /// names those of the new zone.
+  void clear_zone_sizes();
 
-  /// Calls `visit(host, record)` for each endpoint whose address is known, in the order of names.
+  /// Calls `visit(endpoint, record)` for each endpoint whose address is known, in the order of their names.
   template <class Visit>
-  void each_addressable(Visit visit) {
-    for (auto& [host, record] : records_) {
+  void for_each_addressable(Visit visit) {
+    for (auto& [endpoint, record] : records_) {
       if (!record.address.empty()) {
-        visit(host, record);
+        visit(endpoint, record);
       }
     }
   }
 
  private:
-  void apply_states(const EndpointSnapshot& list, std::vector<std::string>& leaving);
-  void remove(const std::string& host);
-  [[nodiscard]] std::vector<std::string> removed_by(const EndpointSnapshot& list) const;
-  [[nodiscard]] const EndpointRecord* find(const std::string& host) const;
+  void apply_draining_states(const EndpointSnapshot& list, std::vector<std::string>& unusable);
+  void remove(const std::string& endpoint);
+  [[nodiscard]] std::vector<std::string> endpoints_removed_by(const EndpointSnapshot& list) const;
+  [[nodiscard]] const EndpointRecord* find(const std::string& endpoint) const;
 
   std::map<std::string, EndpointRecord> records_;
   bool only_draining_binds_ = false;
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -1,4 +1,4 @@
-// Reading of endpoint lists, and the steps of a call. Design: docs/design.md.
+// Parsing of endpoint lists, and the steps of a call to discovery. Design: docs/design.md.
 #include "node/endpoint_discovery.h"
 
 #include <spdlog/spdlog.h>
@@ -14,70 +14,74 @@
 namespace dapplewharf {
 namespace {
 
-// When what a silent watch has missed counts as notified, after it fell silent; and what a new address has to
-// tell, after SIGHUP.
-constexpr Duration kNotifiedAfterSilence = Backoff::kToldWithin;
-constexpr Duration kNotifiedAfterMove = 4 * kSecond;
-// Half of the first, so that as much again is left to begin a silent watch anew: all nodes' watches fall
-// silent together, and one service answers them in turn.
+// When this node is deemed notified of changes: of those that an unanswered watch missed, counted from the
+// start of its call; and of those at a new address, counted from SIGHUP.
+constexpr Duration kDeemedNotifiedAfterSilence = Backoff::kToldWithin;
+constexpr Duration kDeemedNotifiedAfterAddressChange = 4 * kSecond;
+// The time that a watch asks discovery to wait for a change. Half of `kDeemedNotifiedAfterSilence`, so that
+// the other half is left to repeat a watch that was not answered: the watches of all nodes fail at the same
+// time, and one service answers their calls in turn.
 constexpr Duration kWatchWait = 3 * kSecond;
-constexpr Duration kWatchTimeout = 500 * kMs;       // for the answer, beyond the wait that was asked for
-constexpr Duration kLateWatchTimeout = 1500 * kMs;  // the same after a watch that hung
-constexpr Duration kRepeatDelay = 100 * kMs;        // short enough for the watch to go on
-constexpr Duration kRetryDelay = 200 * kMs;         // at most, while a missed change counts as notified soon
+constexpr Duration kWatchTimeout = 500 * kMs;               // for the answer, in addition to `kWatchWait`
+constexpr Duration kWatchTimeoutAfterTimeout = 1500 * kMs;  // the same, after a watch that timed out
+constexpr Duration kUnchangedListDelay = 100 * kMs;         // short enough to keep the watch alive
+constexpr Duration kRetryDelay = 200 * kMs;                 // at most, until `deemed_notified_at_`
 constexpr std::size_t kReadBytes = 64 * 1024;
 constexpr int kHttpOk = 200;
 
-EndpointState state_of(const std::string& word) {
-  if (word == "up") {
+EndpointState parse_state(const std::string& lifecycle) {
+  if (lifecycle == "up") {
     return EndpointState::healthy;
   }
-  // An unknown state gets no new work.
-  return word == "draining" ? EndpointState::draining : EndpointState::removed;
+  // An endpoint in an unknown state is sent no new work.
+  return lifecycle == "draining" ? EndpointState::draining : EndpointState::removed;
 }
 
 template <class Value>
-Value field(const json& from, const char* name, Value otherwise) {
+Value optional_field(const json& from, const char* name, Value default_value) {
   const auto found = from.find(name);
   if (found == from.end() || found->is_null()) {
-    return otherwise;
+    return default_value;
   }
   return found->get<Value>();
 }
 
 }  // namespace
 
-TimePoint Incarnations::place(const std::string& host, double unix_ms, TimePoint now, TimePoint unix_now) {
+TimePoint EndpointStartTimes::to_loop_time(const std::string& endpoint, double unix_ms, TimePoint now,
+                                           TimePoint unix_now) {
   if (!(unix_ms > 0)) {
     return 0;
   }
-  Start& start = known_[host];
+  StartTime& start = start_by_endpoint_[endpoint];
   if (start.unix_ms != unix_ms) {
     start = {unix_ms, std::max<TimePoint>(ticks_of_ms(unix_ms) + now - unix_now, 1)};
   }
-  return start.at;
+  return start.loop_time;
 }
 
-EndpointSnapshot list_of(const json& from, Incarnations& starts, TimePoint now, TimePoint unix_now) {
-  EndpointSnapshot to;
-  to.whole = from.at("reset").get<bool>();
-  to.version = from.at("generation").get<std::int64_t>();
+EndpointSnapshot parse_endpoint_list(const json& from, EndpointStartTimes& starts, TimePoint now,
+                                     TimePoint unix_now) {
+  EndpointSnapshot list;
+  list.is_complete = from.at("reset").get<bool>();
+  list.version = from.at("generation").get<std::int64_t>();
   for (const json& entry : from.at("instances")) {
-    EndpointEntry listing;
-    listing.host = entry.at("instanceId").get<std::string>();
-    listing.zone = field<std::string>(entry, "zone", "");
-    listing.kind = field<std::string>(entry, "machineType", "");
-    listing.cell = field<std::int64_t>(entry, "cell", 0);
-    listing.state = state_of(entry.at("lifecycle").get<std::string>());
-    listing.size = field<double>(entry, "weight", 1);
-    listing.started = starts.place(listing.host, field<double>(entry, "startedAtMs", 0), now, unix_now);
-    const auto address = field<std::string>(entry, "hostPort", "");
+    EndpointEntry endpoint;
+    endpoint.host = entry.at("instanceId").get<std::string>();
+    endpoint.zone = optional_field<std::string>(entry, "zone", "");
+    endpoint.kind = optional_field<std::string>(entry, "machineType", "");
+    endpoint.cell = optional_field<std::int64_t>(entry, "cell", 0);
+    endpoint.state = parse_state(entry.at("lifecycle").get<std::string>());
+    endpoint.size = optional_field<double>(entry, "weight", 1);
+    endpoint.started =
+        starts.to_loop_time(endpoint.host, optional_field<double>(entry, "startedAtMs", 0), now, unix_now);
+    const auto address = optional_field<std::string>(entry, "hostPort", "");
     if (!address.empty()) {
-      to.addresses[listing.host] = address;
+      list.addresses[endpoint.host] = address;
     }
-    to.listings.push_back(std::move(listing));
+    list.entries.push_back(std::move(endpoint));
   }
-  return to;
+  return list;
 }
 
 EndpointDiscovery::EndpointDiscovery(EventLoop& loop, Counters& counters, std::string address,
@@ -89,24 +93,25 @@
       callbacks_(std::move(callbacks)),
       random_(seed) {}
 
-void EndpointDiscovery::set_known_version(std::int64_t version) {
+void EndpointDiscovery::set_cached_version(std::int64_t version) {
   version_ = version;
   needs_complete_list_ = false;
 }
 
 void EndpointDiscovery::watch() {
-  watching_ = true;
+  is_watching_ = true;
   call_next();
 }
 
 void EndpointDiscovery::fetch() {
-  fetching_ = true;
+  is_fetching_ = true;
   call_next();
 }
 
-// Each service counts its versions for itself, so changes since a version of the former one could leave out a
-// drain. The call that is given up is no loss: the load balancer keeps its list, and the watch goes on.
-void EndpointDiscovery::move_to(const std::string& address) {
+// Each discovery service numbers its versions independently, so changes since a version of the former service
+// could omit a drain. The abandoned call is not reported as a failure: the load balancer keeps its list, and
+// the watch continues at the new address.
+void EndpointDiscovery::change_address(const std::string& address) {
   if (address == address_) {
     return;
   }
@@ -115,7 +120,7 @@
   loop_.cancel(deadline_);
   call_in_progress_ = false;
   needs_complete_list_ = true;
-  notified_by_ = loop_.now() + kNotifiedAfterMove;
+  deemed_notified_at_ = loop_.now() + kDeemedNotifiedAfterAddressChange;
   fetch();
 }
 
@@ -123,39 +128,40 @@
   if (call_in_progress_) {
     return;
   }
-  if (fetching_ || (watching_ && needs_complete_list_)) {
+  if (is_fetching_ || (is_watching_ && needs_complete_list_)) {
     return call("/api/targets", false);
   }
-  if (!watching_) {
+  if (!is_watching_) {
     return;
   }
   call("/api/targets?after=" + std::to_string(version_) + "&wait_ms=" + std::to_string(kWatchWait / kMs),
        true);
 }
 
-void EndpointDiscovery::call(const std::string& target, bool waits) {
-  const Duration watch_timeout = kWatchWait + (watch_hung_ ? kLateWatchTimeout : kWatchTimeout);
-  const Duration timeout = waits ? watch_timeout : Backoff::kPatience;
+void EndpointDiscovery::call(const std::string& target, bool is_watch) {
+  const Duration watch_timeout =
+      kWatchWait + (last_watch_timed_out_ ? kWatchTimeoutAfterTimeout : kWatchTimeout);
+  const Duration timeout = is_watch ? watch_timeout : Backoff::kPatience;
   call_in_progress_ = true;
   ++counters_.endpoint_list_calls;
   spdlog::debug("endpoint_list_called target={}", target);
   request_ = format_get_request(address_, target);
   called_at_ = loop_.now();
-  reused_ = static_cast<bool>(socket_);
+  is_reused_connection_ = static_cast<bool>(socket_);
   sent_ = 0;
   received_.clear();
-  loop_.schedule(deadline_, loop_.now() + timeout, [this, waits] {
-    if (waits) {
-      notified_by_ = called_at_ + kNotifiedAfterSilence;
-      watch_hung_ = true;
-      retry_at_once_ = true;
+  loop_.schedule(deadline_, loop_.now() + timeout, [this, is_watch] {
+    if (is_watch) {
+      deemed_notified_at_ = called_at_ + kDeemedNotifiedAfterSilence;
+      last_watch_timed_out_ = true;
+      retry_immediately_ = true;
     }
     on_broken(false);
   });
   if (!socket_) {
     return connect();
   }
-  loop_.update_interest(watched_, POLLIN | POLLOUT);
+  loop_.update_interest(watch_handle_, POLLIN | POLLOUT);
   on_ready();
 }
 
@@ -166,10 +172,10 @@
   received_.clear();
   if (!address || start_connecting(*address, limits_.descriptors, kReservedFromDiscovery, socket_) !=
                       ConnectStart::in_progress) {
-    // Reported in a turn of its own: the caller may be amid its own work.
+    // Reported asynchronously, so that the caller is not called back while it is still executing.
     return loop_.schedule(deadline_, loop_.now(), [this] { on_broken(false); });
   }
-  watched_ = loop_.watch(socket_.descriptor(), POLLOUT, [this](short) { on_ready(); });
+  watch_handle_ = loop_.watch(socket_.descriptor(), POLLOUT, [this](short) { on_ready(); });
 }
 
 void EndpointDiscovery::on_ready() {
@@ -180,14 +186,14 @@
     connected_ = true;
   }
   if (!send_request()) {
-    return on_broken(reused_);
+    return on_broken(is_reused_connection_);
   }
   const bool sending = call_in_progress_ && sent_ < request_.size();
-  loop_.update_interest(watched_, sending ? POLLIN | POLLOUT : POLLIN);
+  loop_.update_interest(watch_handle_, sending ? POLLIN | POLLOUT : POLLIN);
   receive_answer();
 }
 
-// Returns false when the connection is broken.
+// Returns false if the connection is broken.
 bool EndpointDiscovery::send_request() {
   if (!call_in_progress_ || sent_ >= request_.size()) {
     return true;
@@ -201,16 +207,16 @@
   bool closed = false;
   const auto received = socket_.receive(received_, kReadBytes, closed);
   if (!received) {
-    return on_broken(reused_ && received_.empty());
+    return on_broken(is_reused_connection_ && received_.empty());
   }
   if (!call_in_progress_) {
     if (closed || *received > 0) {
-      close();  // nothing was asked for
+      close();  // unexpected data, or closed by discovery
     }
     return;
   }
   if (closed && received_.empty()) {
-    return on_broken(reused_);
+    return on_broken(is_reused_connection_);
   }
   if (*received == 0 && !closed) {
     return;
@@ -230,8 +236,8 @@
 void EndpointDiscovery::on_answer(const std::string& body, bool closes) {
   EndpointSnapshot list;
   try {
-    list = list_of(json::parse(body), incarnations_, loop_.now(), EventLoop::unix_now());
-  } catch (const std::exception& error) {  // the last good list stays in force
+    list = parse_endpoint_list(json::parse(body), start_times_, loop_.now(), EventLoop::unix_now());
+  } catch (const std::exception& error) {  // the last valid list stays in effect
     spdlog::warn("endpoint_list_unusable error=\"{}\"", error.what());
     return on_broken(false);
   }
@@ -241,37 +247,38 @@
     close();
   }
   spdlog::debug("endpoint_list_received version={} endpoints={} duration_ms={}", list.version,
-                list.listings.size(), (loop_.now() - called_at_) / kMs);
+                list.entries.size(), (loop_.now() - called_at_) / kMs);
   on_list(list);
 }
 
 void EndpointDiscovery::on_list(const EndpointSnapshot& list) {
-  const bool has_news = list.version != version_;
-  // A service that began to count anew sends changes since its own beginning only; earlier ones are missed.
-  if (!list.whole && list.version < version_) {
+  const bool has_changes = list.version != version_;
+  // A service that has restarted its version numbers sends only changes since its restart; earlier ones may
+  // be missing.
+  if (!list.is_complete && list.version < version_) {
     needs_complete_list_ = true;
   }
   version_ = list.version;
-  if (list.whole) {
-    fetching_ = false;
+  if (list.is_complete) {
+    is_fetching_ = false;
     needs_complete_list_ = false;
   }
-  notified_by_.reset();
-  watch_hung_ = false;
+  deemed_notified_at_.reset();
+  last_watch_timed_out_ = false;
   ++counters_.endpoint_lists;
-  // A service that answers without waiting would be called without end.
-  if (!has_news && loop_.now() - called_at_ < kRepeatDelay) {
-    loop_.schedule(deadline_, loop_.now() + kRepeatDelay, [this] { call_next(); });
+  // Without the delay a service that answers immediately would be called in an endless loop.
+  if (!has_changes && loop_.now() - called_at_ < kUnchangedListDelay) {
+    loop_.schedule(deadline_, loop_.now() + kUnchangedListDelay, [this] { call_next(); });
   } else {
-    call_next();  // first: a watch goes on only if its next call comes soon
+    call_next();  // before the callback, because discovery ends a watch whose next call is late
   }
-  callbacks_.listed(list);
+  callbacks_.on_list(list);
 }
 
 void EndpointDiscovery::on_broken(bool may_be_stale) {
-  if (may_be_stale) {  // a kept connection was closed meanwhile: once more, on a new one
+  if (may_be_stale) {  // discovery may have closed the idle connection: repeat the call on a new one
     close();
-    reused_ = false;
+    is_reused_connection_ = false;
     return connect();
   }
   spdlog::warn("endpoint_list_call_lost duration_ms={}", (loop_.now() - called_at_) / kMs);
@@ -279,21 +286,22 @@
   loop_.cancel(deadline_);
   call_in_progress_ = false;
   ++counters_.endpoint_list_calls_lost;
-  // Until a missed change counts as notified the call is repeated, at once where a watch hung: an endpoint
-  // that drains would be sent to meanwhile. All nodes' watches fall silent together, hence the random part.
-  if (notified_by_ && loop_.now() < *notified_by_) {
-    const bool at_once = std::exchange(retry_at_once_, false);
+  // The call is repeated until this node is deemed notified of the changes it may have missed, immediately if
+  // a watch timed out: meanwhile the node may send to a draining endpoint. The delay is random because the
+  // watches of all nodes fail at the same time.
+  if (deemed_notified_at_ && loop_.now() < *deemed_notified_at_) {
+    const bool is_immediate = std::exchange(retry_immediately_, false);
     const auto delay = static_cast<Duration>(kRetryDelay * (0.5 + random_.next_fraction() / 2));
-    return loop_.schedule(deadline_, loop_.now() + (at_once ? 0 : delay), [this] { call_next(); });
+    return loop_.schedule(deadline_, loop_.now() + (is_immediate ? 0 : delay), [this] { call_next(); });
   }
-  notified_by_.reset();
-  watching_ = false;
-  fetching_ = false;
-  callbacks_.lost();
+  deemed_notified_at_.reset();
+  is_watching_ = false;
+  is_fetching_ = false;
+  callbacks_.on_watch_lost();
 }
 
 void EndpointDiscovery::close() {
-  loop_.unwatch(watched_);
+  loop_.unwatch(watch_handle_);
   socket_.close();
   connected_ = false;
 }
--- a/src/node/endpoint_discovery.h
+++ b/src/node/endpoint_discovery.h
@@ -1,7 +1,8 @@
-// Calls to discovery: the endpoint list and its changes. Owns that one connection, the version of the list
-// and the watch, which goes on for as long as it is answered, also across a change of address or a silence.
-// A call that is lost is made again here only while a missed change would soon count as notified; any other
-// loss is reported, and when to watch again is left to the node. Design: docs/design.md.
+// The client of the discovery service: fetches the endpoint list and watches its changes by long polling.
+// Owns the connection to discovery, the version of the list and the watch, which continues across a change of
+// discovery's address and across one unanswered call. After a failed call it retries by itself only until
+// this node is deemed notified of the changes that it may have missed; any other failure is reported, and the
+// node decides when to watch again. Design: docs/design.md.
 #pragma once
 #include <functional>
 #include <map>
@@ -20,53 +21,57 @@
 
 /// An endpoint list as discovery sends it.
 struct EndpointSnapshot {
-  bool whole = false;  ///< complete: what it does not name has been removed
+  bool is_complete = false;  ///< endpoints that it does not name have been removed
   std::int64_t version = 0;
-  std::vector<EndpointEntry> listings;
-  std::map<std::string, std::string> addresses;  ///< "a.b.c.d:port", of the hosts named
+  std::vector<EndpointEntry> entries;
+  std::map<std::string, std::string> addresses;  ///< "a.b.c.d:port", by endpoint
 };
 
-/// When endpoints started, translated from Unix time to the event loop's clock. A start keeps its place on
-/// that clock, so that a step of the machine's clock is not taken for a restart of every endpoint.
-class Incarnations {
+/// Start times of endpoints, converted from Unix time to the event loop's clock. Each start time is converted
+/// only once, so that a step of the machine's clock does not look like a restart of every endpoint.
+class EndpointStartTimes {
  public:
-  /// @param unix_ms the start in milliseconds of Unix time; not above 0: long ago.
-  /// @return the start on the loop's clock; 0: long ago.
-  TimePoint place(const std::string& host, double unix_ms, TimePoint now, TimePoint unix_now);
+  /// Converts the start time of an endpoint.
+  /// @param unix_ms milliseconds of Unix time; 0 or less if the endpoint started long ago.
+  /// @return the time on the loop's clock; 0 if the endpoint started long ago.
+  TimePoint to_loop_time(const std::string& endpoint, double unix_ms, TimePoint now, TimePoint unix_now);
 
  private:
-  struct Start {
+  struct StartTime {
     double unix_ms = -1;
-    TimePoint at = 0;
+    TimePoint loop_time = 0;
   };
-  std::map<std::string, Start> known_;
+  std::map<std::string, StartTime> start_by_endpoint_;
 };
 
-/// Reads an endpoint list. Throws nlohmann::json::exception where `from` is none.
-EndpointSnapshot list_of(const nlohmann::json& from, Incarnations& starts, TimePoint now, TimePoint unix_now);
+/// Parses an endpoint list. Throws nlohmann::json::exception if `from` is not an endpoint list.
+EndpointSnapshot parse_endpoint_list(const nlohmann::json& from, EndpointStartTimes& starts, TimePoint now,
+                                     TimePoint unix_now);
 
+/// The connection to discovery and its calls.
 class EndpointDiscovery {
  public:
   struct Callbacks {
-    std::function<void(const EndpointSnapshot&)> listed;
-    std::function<void()> lost;  ///< the watch has ended; `watch` begins another
+    std::function<void(const EndpointSnapshot&)> on_list;
+    std::function<void()> on_watch_lost;  ///< the watch has ended; `watch` starts a new one
   };
   EndpointDiscovery(EventLoop& loop, Counters& counters, std::string address, const Limits& limits,
                     std::uint64_t seed, Callbacks callbacks);
 
-  /// A list of this version is known already: the watch begins with what changed since.
-  void set_known_version(std::int64_t version);
-  /// Watches from now on, until a call is lost.
+  /// Sets the version of a cached list, so that the watch starts with the changes since this version.
+  void set_cached_version(std::int64_t version);
+  /// Starts watching for changes, until a call fails.
   void watch();
-  /// Asks for the complete list once.
+  /// Requests the complete list once.
   void fetch();
-  /// Discovery has another address from now on: the call in progress is given up, and the complete list is
-  /// asked for there.
-  void move_to(const std::string& address);
-  Incarnations& incarnations() { return incarnations_; }
+  /// Sets a new address of discovery: abandons the call in progress and requests the complete list from the
+  /// new address.
+  void change_address(const std::string& address);
+  /// The start times of all endpoints seen so far.
+  EndpointStartTimes& start_times() { return start_times_; }
 
  private:
-  void call(const std::string& target, bool waits);
+  void call(const std::string& target, bool is_watch);
   void call_next();
   void connect();
   void on_ready();
@@ -82,20 +87,21 @@
   std::string address_;
   const Limits& limits_;
   Callbacks callbacks_;
-  Incarnations incarnations_;
+  EndpointStartTimes start_times_;
   RandomGenerator random_;
   std::int64_t version_ = 0;
-  bool watching_ = false;            // wanted
-  bool fetching_ = false;            // wanted
-  bool needs_complete_list_ = true;  // nothing is known of this address yet
+  bool is_watching_ = false;         // watching is requested; there may be no call in progress
+  bool is_fetching_ = false;         // the complete list is requested
+  bool needs_complete_list_ = true;  // no list has been received from this address yet
   bool call_in_progress_ = false;
-  bool reused_ = false;         // the connection served an earlier call
-  bool watch_hung_ = false;     // and nothing has been heard since
-  bool retry_at_once_ = false;  // the call that was just lost was a watch that hung
+  bool is_reused_connection_ = false;  // the connection has served an earlier call
+  bool last_watch_timed_out_ = false;  // and no list has been received since
+  bool retry_immediately_ = false;     // the call that failed last was a watch that timed out
   TimePoint called_at_ = 0;
-  std::optional<TimePoint> notified_by_;  // when what was missed counts as notified; nothing was missed else
+  // When this node is deemed notified of changes that it may have missed; empty if it has missed none.
+  std::optional<TimePoint> deemed_notified_at_;
   Socket socket_;
-  Handle watched_;
+  Handle watch_handle_;
   EventLoop::Deadline deadline_;
   bool connected_ = false;
   std::string request_;
--- a/src/node/event_queue.h
+++ b/src/node/event_queue.h
@@ -1,5 +1,4 @@
-// Events on their way to the load balancer. Owns those that have not been handed over yet, in their order.
-// Design: docs/design.md.
+// The queue of events that have not been passed to the load balancer yet. Design: docs/design.md.
 #pragma once
 #include <utility>
 #include <vector>
@@ -8,11 +7,12 @@
 
 namespace dapplewharf {
 
+/// Events in the order in which they were added.
 class EventQueue {
  public:
   void add(PolicyEvent event) { events_.push_back(std::move(event)); }
   [[nodiscard]] bool empty() const { return events_.empty(); }
-  /// Takes all events out, the oldest first.
+  /// Removes and returns all events, the oldest first.
   [[nodiscard]] std::vector<PolicyEvent> take() { return std::exchange(events_, {}); }
 
  private:
--- a/src/node/gossip_socket.cpp
+++ b/src/node/gossip_socket.cpp
@@ -9,36 +9,39 @@
 namespace {
 
 constexpr std::size_t kLongestMessage = 256;
-constexpr Duration kOpenInterval = kSecond;  // while the address cannot be listened at
-constexpr int kMessagesPerTurn = 64;         // the system drops what a flood brings beyond its buffer
-constexpr int kNoPeer = -1;
+constexpr Duration kOpenInterval = kSecond;  // between attempts to open the socket
+constexpr int kMessagesPerTurn = 64;         // the kernel drops further messages when its buffer is full
+constexpr int kUnknownPeer = -1;
 
-bool same(const sockaddr_in& a, const sockaddr_in& b) {
+bool is_same_address(const sockaddr_in& a, const sockaddr_in& b) {
   return a.sin_addr.s_addr == b.sin_addr.s_addr && a.sin_port == b.sin_port;
 }
 
 }  // namespace
 
-GossipSocket::GossipSocket(EventLoop& loop, Counters& counters, const PeerSettings& settings,
+GossipSocket::GossipSocket(EventLoop& loop, Counters& counters, const GossipSettings& settings,
                            std::uint64_t seed)
-    : loop_(loop), counters_(counters), loads_(static_cast<int>(settings.peers.size()), settings.me, seed) {
-  const auto at = parse_address(settings.listen);
-  if (!at || settings.peers.size() < 2) {
+    : loop_(loop),
+      counters_(counters),
+      loads_(static_cast<int>(settings.peers.size()), settings.node_index, seed) {
+  const auto listen_address = parse_address(settings.listen);
+  if (!listen_address || settings.peers.size() < 2) {
     return;
   }
   for (const std::string& peer : settings.peers) {
     addresses_.push_back(parse_address(peer).value_or(sockaddr_in{}));
   }
-  listen_ = *at;
+  listen_address_ = *listen_address;
   open();
 }
 
-// Tried again later when it fails: a passing shortage would otherwise leave this node alone for good.
+// After a failure another attempt follows later; otherwise a temporary shortage of resources would end gossip
+// for good.
 void GossipSocket::open() {
-  opened_at_ = loop_.now();
+  last_open_attempt_at_ = loop_.now();
   Socket socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!socket ||
-      bind(socket.descriptor(), reinterpret_cast<const sockaddr*>(&*listen_), sizeof *listen_) != 0) {
+  if (!socket || bind(socket.descriptor(), reinterpret_cast<const sockaddr*>(&*listen_address_),
+                      sizeof *listen_address_) != 0) {
     const int error = errno;
     if (!std::exchange(failure_logged_, true)) {
       spdlog::warn("gossip_unavailable error={}", error);
@@ -49,8 +52,8 @@
   loop_.watch(socket_.descriptor(), POLLIN, [this](short) { read(); });
 }
 
-void GossipSocket::tell(const PeerLoadTable::Counts& counts) {
-  if (!socket_ && listen_ && loop_.now() - opened_at_ >= kOpenInterval) {
+void GossipSocket::send_if_due(const PeerLoadTable::Counts& counts) {
+  if (!socket_ && listen_address_ && loop_.now() - last_open_attempt_at_ >= kOpenInterval) {
     open();
   }
   if (!socket_) {
@@ -64,19 +67,19 @@
 void GossipSocket::send(const PeerLoadTable::Counts& counts, const std::vector<int>& peers) {
   const std::string message = PeerLoadTable::encode(counts, EventLoop::unix_now());
   for (const int peer : peers) {
-    const sockaddr_in& to = addresses_[static_cast<std::size_t>(peer)];
-    // A message that the system does not take is lost like one on the way: the next one carries it all.
+    const sockaddr_in& recipient = addresses_[static_cast<std::size_t>(peer)];
+    // A message that the kernel does not accept is lost like one in the network; the next one replaces it.
     if (sendto(socket_.descriptor(), message.data(), message.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
-               reinterpret_cast<const sockaddr*>(&to), sizeof to) >= 0) {
+               reinterpret_cast<const sockaddr*>(&recipient), sizeof recipient) >= 0) {
       ++counters_.gossip_sent;
     }
   }
 }
 
-int GossipSocket::peer_at(const sockaddr_in& address) const {
-  int found = kNoPeer;
+int GossipSocket::peer_index(const sockaddr_in& address) const {
+  int found = kUnknownPeer;
   for (std::size_t peer = 0; peer < addresses_.size(); ++peer) {
-    if (same(addresses_[peer], address)) {
+    if (is_same_address(addresses_[peer], address)) {
       found = static_cast<int>(peer);
     }
   }
@@ -95,7 +98,7 @@
     }
     const bool complete = size <= static_cast<ssize_t>(sizeof bytes);
     if (complete &&
-        loads_.receive(peer_at(from), {bytes, static_cast<std::size_t>(size)}, EventLoop::unix_now())) {
+        loads_.receive(peer_index(from), {bytes, static_cast<std::size_t>(size)}, EventLoop::unix_now())) {
       ++counters_.gossip_received;
     } else {
       ++counters_.gossip_ignored;
@@ -103,8 +106,8 @@
   }
 }
 
-std::optional<double> GossipSocket::elsewhere(const std::string& host) const {
-  return socket_ ? loads_.connections_elsewhere(host, EventLoop::unix_now()) : std::nullopt;
+std::optional<double> GossipSocket::connections_elsewhere(const std::string& endpoint) const {
+  return socket_ ? loads_.connections_elsewhere(endpoint, EventLoop::unix_now()) : std::nullopt;
 }
 
 }  // namespace dapplewharf
--- a/src/node/health_checker.cpp
+++ b/src/node/health_checker.cpp
@@ -1,4 +1,4 @@
-// The steps of a health check: connect where needed, send PING, read the answer. Design: docs/design.md.
+// The steps of a health check: connect if necessary, send PING, read the answer. Design: docs/design.md.
 #include "node/health_checker.h"
 
 #include <utility>
@@ -9,10 +9,10 @@
 namespace {
 
 const std::string kPing = "PING\r\n";
-constexpr Duration kAnswerTime = 50 * kMs;  // for the answer, beyond the time to connect
+constexpr Duration kAnswerTimeout = 50 * kMs;  // for the answer, in addition to the connect timeout
 
-TerminationReason reason_of(ConnectStart dialled) {
-  switch (dialled) {
+TerminationReason reason_of(ConnectStart connect_start) {
+  switch (connect_start) {
     case ConnectStart::no_descriptor:
       return TerminationReason::no_descriptor;
     case ConnectStart::local_failure:
@@ -43,141 +43,143 @@
 HealthChecker::HealthChecker(EventLoop& loop, Counters& counters, const Limits& limits, OnEnded on_ended)
     : loop_(loop), counters_(counters), limits_(limits), on_ended_(std::move(on_ended)) {}
 
-void HealthChecker::check(const std::string& host, const std::string& address) {
-  Probe& probe = probes_[host];
-  if (probe.in_progress) {
+void HealthChecker::check(const std::string& endpoint, const std::string& address) {
+  CheckedEndpoint& checked = checked_endpoints_[endpoint];
+  if (checked.is_in_progress) {
     return;
   }
   ++counters_.health_checks;
-  probe.in_progress = true;
-  probe.began_at = loop_.now();
-  probe.sent = 0;
-  probe.received.clear();
-  loop_.schedule(probe.deadline, loop_.now() + limits_.connect_time + kAnswerTime, [this, host] {
-    const auto found = probes_.find(host);
-    if (found != probes_.end()) {
-      end(host, found->second, TerminationReason::timed_out);
+  checked.is_in_progress = true;
+  checked.began_at = loop_.now();
+  checked.sent = 0;
+  checked.received.clear();
+  loop_.schedule(checked.deadline, loop_.now() + limits_.connect_time + kAnswerTimeout, [this, endpoint] {
+    const auto found = checked_endpoints_.find(endpoint);
+    if (found != checked_endpoints_.end()) {
+      end(endpoint, found->second, TerminationReason::timed_out);
     }
   });
-  if (probe.address != address) {  // the host has another address now
-    loop_.unwatch(probe.watched);
-    probe.socket.close();
-    probe.address = address;
+  if (checked.address != address) {  // the endpoint's address has changed
+    loop_.unwatch(checked.watch_handle);
+    checked.socket.close();
+    checked.address = address;
   }
-  probe.reused = static_cast<bool>(probe.socket);
-  if (!probe.socket) {
-    return connect(host, probe);
+  checked.is_reused_connection = static_cast<bool>(checked.socket);
+  if (!checked.socket) {
+    return connect(endpoint, checked);
   }
-  loop_.update_interest(probe.watched, POLLIN | POLLOUT);
+  loop_.update_interest(checked.watch_handle, POLLIN | POLLOUT);
 }
 
-// Connections kept to machines that are gone without a word would add up.
-void HealthChecker::forget(const std::string& host) {
-  const auto found = probes_.find(host);
-  if (found == probes_.end()) {
+// Otherwise connections to machines that have disappeared without closing them would accumulate.
+void HealthChecker::stop_checking(const std::string& endpoint) {
+  const auto found = checked_endpoints_.find(endpoint);
+  if (found == checked_endpoints_.end()) {
     return;
   }
-  end(host, found->second, TerminationReason::cancelled);
-  probes_.erase(host);
+  end(endpoint, found->second, TerminationReason::cancelled);
+  checked_endpoints_.erase(endpoint);
 }
 
-void HealthChecker::connect(const std::string& host, Probe& probe) {
-  probe.progress = AttemptProgress::not_connected;
-  probe.reused = false;
-  probe.sent = 0;
-  const auto address = parse_address(probe.address);
-  const ConnectStart dialled =
-      address ? start_connecting(*address, limits_.descriptors, kReservedFromHealthChecks, probe.socket)
+void HealthChecker::connect(const std::string& endpoint, CheckedEndpoint& checked) {
+  checked.progress = AttemptProgress::not_connected;
+  checked.is_reused_connection = false;
+  checked.sent = 0;
+  const auto address = parse_address(checked.address);
+  const ConnectStart connect_start =
+      address ? start_connecting(*address, limits_.descriptors, kReservedFromHealthChecks, checked.socket)
               : ConnectStart::refused;
-  if (dialled != ConnectStart::in_progress) {
-    return end(host, probe, reason_of(dialled));
+  if (connect_start != ConnectStart::in_progress) {
+    return end(endpoint, checked, reason_of(connect_start));
   }
-  probe.watched = loop_.watch(probe.socket.descriptor(), POLLOUT, [this, host](short) { on_ready(host); });
+  checked.watch_handle =
+      loop_.watch(checked.socket.descriptor(), POLLOUT, [this, endpoint](short) { on_ready(endpoint); });
 }
 
-void HealthChecker::on_ready(const std::string& host) {
-  const auto found = probes_.find(host);
-  if (found == probes_.end() || !found->second.socket) {
+void HealthChecker::on_ready(const std::string& endpoint) {
+  const auto found = checked_endpoints_.find(endpoint);
+  if (found == checked_endpoints_.end() || !found->second.socket) {
     return;
   }
-  Probe& probe = found->second;
-  if (probe.progress == AttemptProgress::not_connected) {
-    if (!probe.socket.is_connected()) {
-      return end(host, probe, TerminationReason::connection_broken);
+  CheckedEndpoint& checked = found->second;
+  if (checked.progress == AttemptProgress::not_connected) {
+    if (!checked.socket.is_connected()) {
+      return end(endpoint, checked, TerminationReason::connection_broken);
     }
-    probe.progress = AttemptProgress::partly_written;
+    checked.progress = AttemptProgress::partly_written;
   }
   bool closed = false;
-  const auto received = probe.socket.receive(probe.received, kLongestLine, closed);
-  if (!received || closed || !send_ping(probe)) {
-    return on_connection_ended(host, probe, closed);
+  const auto received = checked.socket.receive(checked.received, kLongestLine, closed);
+  if (!received || closed || !send_ping(checked)) {
+    return on_connection_ended(endpoint, checked, closed);
   }
-  const bool sending = probe.in_progress && probe.sent < kPing.size();
-  loop_.update_interest(probe.watched, sending ? POLLIN | POLLOUT : POLLIN);
-  read_answer(host, probe);
+  const bool sending = checked.is_in_progress && checked.sent < kPing.size();
+  loop_.update_interest(checked.watch_handle, sending ? POLLIN | POLLOUT : POLLIN);
+  read_answer(endpoint, checked);
 }
 
-// Returns false when the connection is broken.
-bool HealthChecker::send_ping(Probe& probe) {
-  if (!probe.in_progress || probe.sent == kPing.size()) {
+// Returns false if the connection is broken.
+bool HealthChecker::send_ping(CheckedEndpoint& checked) {
+  if (!checked.is_in_progress || checked.sent == kPing.size()) {
     return true;
   }
-  const auto sent = probe.socket.send(kPing.data() + probe.sent, kPing.size() - probe.sent);
+  const auto sent = checked.socket.send(kPing.data() + checked.sent, kPing.size() - checked.sent);
   if (!sent) {
     return false;
   }
-  probe.sent += *sent;
-  if (probe.sent == kPing.size()) {
-    probe.progress = AttemptProgress::written;
-    probe.written_at = loop_.now();
+  checked.sent += *sent;
+  if (checked.sent == kPing.size()) {
+    checked.progress = AttemptProgress::written;
+    checked.written_at = loop_.now();
   }
   return true;
 }
 
-void HealthChecker::on_connection_ended(const std::string& host, Probe& probe, bool closed) {
-  if (probe.in_progress && probe.reused && probe.received.empty()) {  // a kept connection had ended meanwhile
-    loop_.unwatch(probe.watched);
-    probe.socket.close();
-    return connect(host, probe);
+void HealthChecker::on_connection_ended(const std::string& endpoint, CheckedEndpoint& checked, bool closed) {
+  // The endpoint may have closed the connection while it was idle.
+  if (checked.is_in_progress && checked.is_reused_connection && checked.received.empty()) {
+    loop_.unwatch(checked.watch_handle);
+    checked.socket.close();
+    return connect(endpoint, checked);
   }
-  end(host, probe, closed ? TerminationReason::closed : TerminationReason::connection_broken);
+  end(endpoint, checked, closed ? TerminationReason::closed : TerminationReason::connection_broken);
 }
 
-void HealthChecker::read_answer(const std::string& host, Probe& probe) {
-  const std::size_t line_end = probe.received.find('\n');
+void HealthChecker::read_answer(const std::string& endpoint, CheckedEndpoint& checked) {
+  const std::size_t line_end = checked.received.find('\n');
   if (line_end == std::string::npos) {
-    if (probe.received.size() > kLongestLine) {
-      end(host, probe, TerminationReason::malformed_answer);
+    if (checked.received.size() > kLongestLine) {
+      end(endpoint, checked, TerminationReason::malformed_answer);
     }
     return;
   }
-  const LineType answer = line_type_of(std::string_view(probe.received).substr(0, line_end + 1));
-  probe.received.erase(0, line_end + 1);
-  end(host, probe, reason_of(answer));
+  const LineType answer = line_type_of(std::string_view(checked.received).substr(0, line_end + 1));
+  checked.received.erase(0, line_end + 1);
+  end(endpoint, checked, reason_of(answer));
 }
 
-void HealthChecker::end(const std::string& host, Probe& probe, TerminationReason reason) {
-  HealthCheckResult result{.result = {.progress = probe.progress, .reason = reason},
-                           .duration = loop_.now() - probe.began_at,
+void HealthChecker::end(const std::string& endpoint, CheckedEndpoint& checked, TerminationReason reason) {
+  HealthCheckResult result{.result = {.progress = checked.progress, .reason = reason},
+                           .duration = loop_.now() - checked.began_at,
                            .latency = 0};
-  // An error comes at once, however long the host's queue is, so it says nothing of the latency.
+  // An error is answered immediately, however long the endpoint's queue is, so it does not show the latency.
   if (reason == TerminationReason::completed) {
-    result.latency = loop_.now() - probe.written_at;
+    result.latency = loop_.now() - checked.written_at;
   }
-  const bool was_in_progress = std::exchange(probe.in_progress, false);
-  loop_.cancel(probe.deadline);
+  const bool was_in_progress = std::exchange(checked.is_in_progress, false);
+  loop_.cancel(checked.deadline);
   if (!keeps_connection(reason)) {
-    close(probe);
+    close(checked);
   }
   if (was_in_progress) {
-    on_ended_(host, result);
+    on_ended_(endpoint, result);
   }
 }
 
-void HealthChecker::close(Probe& probe) {
-  loop_.unwatch(probe.watched);
-  probe.socket.close();
-  probe.progress = AttemptProgress::not_connected;
+void HealthChecker::close(CheckedEndpoint& checked) {
+  loop_.unwatch(checked.watch_handle);
+  checked.socket.close();
+  checked.progress = AttemptProgress::not_connected;
 }
 
 }  // namespace dapplewharf
--- a/src/node/health_checker.h
+++ b/src/node/health_checker.h
@@ -1,5 +1,5 @@
-// Health checks: PING to a host on a connection that is kept for them, opened when there is none. Owns those
-// connections; reports how each check ended and never decides when to check. Design: docs/design.md.
+// Health checks: sends PING to an endpoint on a connection that is kept open between checks. Owns these
+// connections and reports how each check ended; the caller decides when to check. Design: docs/design.md.
 #pragma once
 #include <functional>
 #include <map>
@@ -12,51 +12,54 @@
 
 namespace dapplewharf {
 
-/// How a health check ended. Spans are in ticks of 0.1 ms.
+/// How a health check ended. Durations are in ticks of 0.1 ms.
 struct HealthCheckResult {
-  AttemptResult result;  ///< `completed`: answered well
+  AttemptResult result;  ///< its reason is `completed` if the endpoint answered PONG
   Duration duration = 0;
-  Duration latency = 0;  ///< from the last byte of PING to PONG; 0 where no PONG came
+  Duration latency = 0;  ///< from sending the last byte of PING to PONG; 0 if there was no PONG
 };
 
+/// Executes health checks, at most one per endpoint at a time.
 class HealthChecker {
  public:
-  using OnEnded = std::function<void(const std::string& host, const HealthCheckResult& result)>;
-  /// @param on_ended is told of each health check once.
+  using OnEnded = std::function<void(const std::string& endpoint, const HealthCheckResult& result)>;
+  /// @param on_ended called once for each health check.
   HealthChecker(EventLoop& loop, Counters& counters, const Limits& limits, OnEnded on_ended);
 
-  /// Begins a health check, unless one of this host is in progress. @param address "a.b.c.d:port".
-  void check(const std::string& host, const std::string& address);
-  /// Cancels the health check in progress and closes the host's connection.
-  void forget(const std::string& host);
+  /// Begins a health check, unless one of this endpoint is in progress.
+  /// @param address "a.b.c.d:port".
+  void check(const std::string& endpoint, const std::string& address);
+  /// Cancels the health check in progress and closes the connection to the endpoint.
+  void stop_checking(const std::string& endpoint);
 
  private:
-  struct Probe {
+  struct CheckedEndpoint {
     std::string address;
     Socket socket;
-    Handle watched;
+    Handle watch_handle;
     EventLoop::Deadline deadline;
     AttemptProgress progress = AttemptProgress::not_connected;
-    bool in_progress = false;
-    bool reused = false;  // the connection served an earlier check and may have been closed meanwhile
+    bool is_in_progress = false;
+    /// The connection has served an earlier check and may have been closed since.
+    bool is_reused_connection = false;
     TimePoint began_at = 0;
     TimePoint written_at = 0;
     std::string received;
     std::size_t sent = 0;
   };
-  void connect(const std::string& host, Probe& probe);
-  void on_ready(const std::string& host);
-  bool send_ping(Probe& probe);
-  void on_connection_ended(const std::string& host, Probe& probe, bool closed);
-  void read_answer(const std::string& host, Probe& probe);
-  void end(const std::string& host, Probe& probe, TerminationReason reason);
-  void close(Probe& probe);
+  void connect(const std::string& endpoint, CheckedEndpoint& checked);
+  void on_ready(const std::string& endpoint);
+  bool send_ping(CheckedEndpoint& checked);
+  void on_connection_ended(const std::string& endpoint, CheckedEndpoint& checked, bool closed);
+  void read_answer(const std::string& endpoint, CheckedEndpoint& checked);
+  void end(const std::string& endpoint, CheckedEndpoint& checked, TerminationReason reason);
+  void close(CheckedEndpoint& checked);
 
   EventLoop& loop_;
   Counters& counters_;
   const Limits& limits_;
   OnEnded on_ended_;
-  std::map<std::string, Probe> probes_;
+  std::map<std::string, CheckedEndpoint> checked_endpoints_;
 };
 
 }  // namespace dapplewharf
--- a/src/node/latency_estimator.cpp
+++ b/src/node/latency_estimator.cpp
@@ -1,5 +1,5 @@
-// Samples, their expiry and the estimate. A host that is slow may still echo lines at once, so the time that
-// a health check waits in the host's queue counts as well. Design: docs/design.md.
+// Samples, their expiry and the estimate. A slow endpoint may still answer lines immediately, so the time
+// that a health check waits in the endpoint's queue is taken into account as well. Design: docs/design.md.
 #include "node/latency_estimator.h"
 
 #include <algorithm>
@@ -7,12 +7,13 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kLineWindow = 2 * kSecond;  // as often as clients send a line
+constexpr Duration kLineWindow = 2 * kSecond;  // clients send a line about once in this time
 constexpr Duration kReportInterval = kSecond;
-constexpr Duration kHealthCheckValidity = 5 * kSecond;
-constexpr Duration kShortestWindow = 120 * kSecond;  // for the round trip and the idle service time
-constexpr double kServiceShare = 1.0 / 5;            // of an objective: what a message takes at an idle host
-constexpr Duration kNoise = 15;  // a health check's excess over the shortest that says nothing
+constexpr Duration kMaxHealthCheckAge = 5 * kSecond;
+constexpr Duration kMinLatencyWindow = 120 * kSecond;  // over which the minimum stands for the idle latency
+constexpr double kServiceTimeShare = 1.0 / 5;  // of the objective, which a message takes at an idle endpoint
+// Smaller differences between a health check and the idle latency are ignored; ticks of 0.1 ms.
+constexpr Duration kHealthCheckNoise = 15;
 
 }  // namespace
 
@@ -22,12 +23,12 @@
 
 void LatencyEstimator::record_health_check(TimePoint now, Duration latency) {
   health_checks_.push_back({now, latency});
-  while (now - health_checks_.front().at >= kShortestWindow) {
+  while (now - health_checks_.front().taken_at >= kMinLatencyWindow) {
     health_checks_.pop_front();
   }
 }
 
-std::optional<Duration> LatencyEstimator::shortest_health_check() const {
+std::optional<Duration> LatencyEstimator::min_health_check_latency() const {
   if (health_checks_.empty()) {
     return std::nullopt;
   }
@@ -38,7 +39,7 @@
 std::optional<Duration> LatencyEstimator::report(TimePoint now, Duration objective,
                                                  const std::vector<Duration>& unanswered, Duration baseline) {
   const Duration limit = objective / 3;
-  expire_lines(now);
+  remove_expired_lines(now);
   std::optional<Duration> estimate = median_line_latency(limit, unanswered);
   if (const auto waited = health_check_latency(now, objective, baseline)) {
     estimate = std::max(estimate.value_or(0), *waited);
@@ -46,18 +47,19 @@
   if (!estimate) {
     return std::nullopt;
   }
-  const bool over = *estimate > limit;
-  const bool due = over ? !over_limit_ || now - reported_at_ >= kReportInterval : over_limit_;
-  if (!due) {
+  const bool is_over_limit = *estimate > limit;
+  const bool is_due =
+      is_over_limit ? !was_over_limit_ || now - reported_at_ >= kReportInterval : was_over_limit_;
+  if (!is_due) {
     return std::nullopt;
   }
-  over_limit_ = over;
+  was_over_limit_ = is_over_limit;
   reported_at_ = now;
   return estimate;
 }
 
-void LatencyEstimator::expire_lines(TimePoint now) {
-  while (!lines_.empty() && now - lines_.front().at >= kLineWindow) {
+void LatencyEstimator::remove_expired_lines(TimePoint now) {
+  while (!lines_.empty() && now - lines_.front().taken_at >= kLineWindow) {
     lines_.pop_front();
   }
 }
@@ -67,7 +69,7 @@
   std::vector<Duration> latencies;
   for (const Duration age : unanswered) {
     if (age > limit) {
-      latencies.push_back(age);  // younger ones say nothing yet
+      latencies.push_back(age);  // shorter waits do not show the latency yet
     }
   }
   for (const Sample& line : lines_) {
@@ -83,25 +85,26 @@
 
 std::optional<Duration> LatencyEstimator::health_check_latency(TimePoint now, Duration objective,
                                                                Duration baseline) const {
-  if (health_checks_.empty() || now - health_checks_.back().at >= kHealthCheckValidity) {
+  if (health_checks_.empty() || now - health_checks_.back().taken_at >= kMaxHealthCheckAge) {
     return std::nullopt;
   }
-  // Without the other hosts' baseline, a host that has been slow ever since this node started seems idle. One
-  // health check alone may have been delayed by the setups of a start.
-  const Duration own = std::max<Duration>(*shortest_health_check(), 1);
+  // Without the baseline of other endpoints, an endpoint that has been slow since this node started would
+  // appear idle. A single health check is not compared with the baseline: connection setups at the start may
+  // have delayed it.
+  const Duration own = std::max<Duration>(*min_health_check_latency(), 1);
   const Duration idle = baseline > 0 && health_checks_.size() > 1 ? std::min(own, baseline) : own;
   const Duration last = health_checks_.back().latency;
   const Duration waited = last - idle;
-  if (waited <= kNoise) {
+  if (waited <= kHealthCheckNoise) {
     return waited;
   }
-  // A message's own service time grows as the health check's has; the rest of that time it waits as well.
-  const auto stretched = static_cast<Duration>(kServiceShare * static_cast<double>(objective * last) /
-                                               static_cast<double>(idle));
-  return std::max(waited, stretched);
+  // A message's service time grows by the same factor as the health check's.
+  const auto scaled = static_cast<Duration>(kServiceTimeShare * static_cast<double>(objective * last) /
+                                            static_cast<double>(idle));
+  return std::max(waited, scaled);
 }
 
-double baseline_service_time(std::vector<double> service_times) {
+double idle_service_time(std::vector<double> service_times) {
   if (service_times.empty()) {
     return 0;
   }
--- a/src/node/listener.cpp
+++ b/src/node/listener.cpp
@@ -1,4 +1,4 @@
-// Accepting, and what follows when accept fails. Design: docs/design.md.
+// Accepting connections, and the handling of failed accepts. Design: docs/design.md.
 #include "node/listener.h"
 
 #include <fcntl.h>
@@ -11,9 +11,10 @@
 namespace dapplewharf {
 namespace {
 
-constexpr int kAcceptsPerTurn = 32;  // so that established connections have their turn too
+constexpr int kAcceptsPerTurn = 32;  // so that established connections are served in between
 constexpr Duration kRetryDelay = 5 * kMs;
-constexpr Duration kRejectAfter = kSecond;  // of failing accepts: half the time that a request line is given
+// After this time of failing accepts clients are rejected; half of the time that they have to send a request.
+constexpr Duration kMaxAcceptFailureTime = kSecond;
 
 Socket open_spare() {
   return Socket(::open("/dev/null", O_RDONLY | O_CLOEXEC));
@@ -28,13 +29,13 @@
       limits_(limits),
       log_limit_(log_limit),
       on_accepted_(std::move(on_accepted)),
-      spare_(open_spare()) {}
+      spare_descriptor_(open_spare()) {}
 
 std::optional<std::string> Listener::listen(const sockaddr_in& address) {
-  if (auto fault = listen_on(address, socket_)) {
-    return fault;
+  if (auto error = listen_on(address, socket_)) {
+    return error;
   }
-  watched_ = loop_.watch(socket_.descriptor(), POLLIN, [this](short) { accept_ready(); });
+  watch_handle_ = loop_.watch(socket_.descriptor(), POLLIN, [this](short) { accept_ready(); });
   return std::nullopt;
 }
 
@@ -66,8 +67,8 @@
   }
 }
 
-// A client in the kernel's queue loses nothing by waiting through a passing failure. Only where the failure
-// lasts, or this process has no descriptor left, one client is rejected.
+// A client can wait in the kernel's accept queue during a temporary failure. Only if the failure lasts, or
+// this process has no descriptor left, one client is rejected.
 void Listener::retry_later(int error) {
   ++counters_.accept_failures;
   if (!failing_since_) {
@@ -76,29 +77,30 @@
       spdlog::warn("accept_failed error={} action=retry", error);
     }
   }
-  const bool lasting = loop_.now() - *failing_since_ >= kRejectAfter;
-  const bool none_left = Socket::is_short_of_descriptors(limits_.descriptors, 0);
-  if ((error == EMFILE || error == ENFILE) && (lasting || none_left) && reject_one()) {
+  const bool is_lasting = loop_.now() - *failing_since_ >= kMaxAcceptFailureTime;
+  const bool has_no_descriptor = Socket::is_short_of_descriptors(limits_.descriptors, 0);
+  if ((error == EMFILE || error == ENFILE) && (is_lasting || has_no_descriptor) && reject_one()) {
     return;
   }
-  loop_.update_interest(watched_, 0);  // poll would return at once for a client that cannot be accepted
-  loop_.schedule(retry_, loop_.now() + kRetryDelay, [this] {
-    loop_.update_interest(watched_, POLLIN);
+  loop_.update_interest(
+      watch_handle_, 0);  // otherwise poll would return immediately, although the client cannot be accepted
+  loop_.schedule(retry_deadline_, loop_.now() + kRetryDelay, [this] {
+    loop_.update_interest(watch_handle_, POLLIN);
     accept_ready();
   });
 }
 
-// Gives up the spare descriptor for a moment. Returns whether there was a client to reject.
+// Frees the spare descriptor temporarily to accept one client and reject it. Returns whether there was one.
 bool Listener::reject_one() {
-  spare_.close();
+  spare_descriptor_.close();
   Socket client(accept4(socket_.descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  const bool any = static_cast<bool>(client);
-  if (any) {
+  const bool has_client = static_cast<bool>(client);
+  if (has_client) {
     reject_for_descriptors(client, counters_);
   }
   client.close();
-  spare_ = open_spare();
-  return any;
+  spare_descriptor_ = open_spare();
+  return has_client;
 }
 
 void reject_for_descriptors(const Socket& client, Counters& counters) {
--- a/src/node/listener.h
+++ b/src/node/listener.h
@@ -1,6 +1,6 @@
-// Accepts clients' connections on the node's address. Owns the listening socket, a spare descriptor that lets
-// it answer a client when no other descriptor is left, and the retry after a failed accept. Hands every
-// accepted socket on and never decides who is served. Design: docs/design.md.
+// Accepts clients' connections on the node's address. Owns the listening socket, a spare descriptor with
+// which it can answer a client when no other descriptor is left, and the retry after a failed accept. Passes
+// every accepted socket to its owner, which decides whether the client is served. Design: docs/design.md.
 #pragma once
 #include <functional>
 #include <optional>
@@ -13,18 +13,20 @@
 
 namespace dapplewharf {
 
+/// The listening socket of the node.
 class Listener {
  public:
   using OnAccepted = std::function<void(Socket)>;
 
-  /// @param on_accepted is given each accepted socket, non-blocking; takes ownership.
+  /// @param on_accepted receives each accepted socket, which is non-blocking, and takes ownership.
   Listener(EventLoop& loop, Counters& counters, const Limits& limits, LogRateLimit& log_limit,
            OnAccepted on_accepted);
 
-  /// Starts to listen at `address`. Returns what went wrong, if anything; may wait as `listen_at` does.
+  /// Starts listening at `address`. Returns an error message on failure, otherwise nothing; may block like
+  /// `listen_on`.
   std::optional<std::string> listen(const sockaddr_in& address);
 
-  /// Accepts whoever the kernel has queued. Returns whether there was anybody, or may be because accept
+  /// Accepts the clients in the accept queue. Returns whether there were any, or may be some because accept
   /// failed.
   bool accept_pending();
 
@@ -39,13 +41,14 @@
   LogRateLimit& log_limit_;
   OnAccepted on_accepted_;
   Socket socket_;
-  Socket spare_;
-  Handle watched_;
-  EventLoop::Deadline retry_;
-  std::optional<TimePoint> failing_since_;
+  Socket spare_descriptor_;
+  Handle watch_handle_;
+  EventLoop::Deadline retry_deadline_;
+  std::optional<TimePoint>
+      failing_since_;  // since when every accept has failed; empty if the last one succeeded
 };
 
-/// Answers BUSY to a client that this process has no descriptor for, and ends the sending side.
+/// Answers BUSY to a client for which this process has no descriptor, and closes the sending side.
 void reject_for_descriptors(const Socket& client, Counters& counters);
 
 }  // namespace dapplewharf
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,7 +1,7 @@
-// The node's program: reads its arguments and configuration, turns signals into calls of the node, and runs
-// the event loop until the node is done. Owns nothing beyond that. A fault in the configuration is one line
-// on standard error; it ends the process at the start and changes nothing at a SIGHUP. Design:
-// docs/architecture.md.
+// The node's main program: reads the arguments and the configuration, dispatches signals to the node, and
+// runs the event loop until the node may exit. An invalid configuration is reported in one line on standard
+// error at the start and ends the process; on SIGHUP it is rejected and the node keeps running unchanged.
+// Design: docs/architecture.md.
 #include <fcntl.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -20,28 +20,30 @@
 
 namespace {
 
-constexpr RetrySchedule kPipeAtStart{.max_attempts = 20, .delay = std::chrono::milliseconds(50)};
+constexpr RetrySchedule kPipeRetries{.max_attempts = 20, .delay = std::chrono::milliseconds(50)};
 constexpr const char* kVersion = "0.2.0";
-constexpr int kExitGood = 0;
+constexpr int kExitSuccess = 0;
 constexpr int kExitFailed = 1;
-constexpr int kExitUnusable = 2;
+constexpr int kExitInvalidInput = 2;
 
-int signal_pipe[2] = {-1, -1};  // a signal handler can reach nothing but globals
+int signal_pipe[2] = {-1, -1};  // global because a signal handler has no other access to it
 
 void on_signal(int number) {
   const int saved_errno = errno;
   const char byte = static_cast<char>(number);
-  [[maybe_unused]] const ssize_t written = write(signal_pipe[1], &byte, 1);  // full: enough signals wait
+  [[maybe_unused]] const ssize_t written =
+      write(signal_pipe[1], &byte, 1);  // if the pipe is full, signals are pending anyway
   errno = saved_errno;
 }
 
-// Signals are handled from here on: a SIGHUP before the node is ready would otherwise end the process.
-void open_signals() {
-  const bool opened = retry_blocking(kPipeAtStart, [](int) {
+// Installed before the configuration is read: a SIGHUP before the node is ready would otherwise end the
+// process.
+void install_signal_handlers() {
+  const bool opened = retry_blocking(kPipeRetries, [](int) {
     return pipe2(signal_pipe, O_NONBLOCK | O_CLOEXEC) == 0 ? StepResult::succeeded : StepResult::retry;
   });
   if (!opened) {
-    throw std::runtime_error("no pipe for signals");
+    throw std::runtime_error("cannot create the pipe for signals");
   }
   for (const int number : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) {
     std::signal(number, on_signal);
@@ -49,17 +51,17 @@
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-void read_signals(Node& node, Reloader& reloader) {
+void handle_signals(Node& node, Reloader& reloader) {
   char numbers[64];
   const ssize_t received = read(signal_pipe[0], numbers, sizeof numbers);
-  bool reload = false;  // once for any number of SIGHUPs: the files as they are now count
+  bool reload = false;  // several pending SIGHUPs cause one reload, which reads the files as they are now
   for (ssize_t i = 0; i < received; ++i) {
     if (numbers[i] == SIGUSR1) {
-      node.report();
+      node.log_counters();
     } else if (numbers[i] == SIGHUP) {
       reload = true;
     } else {
-      node.stop();
+      node.begin_shutdown();
     }
   }
   if (reload) {
@@ -67,86 +69,87 @@
   }
 }
 
-// The files to read, or the exit code of a call that serves nobody.
+// The files to read, or the exit code of an invocation such as --check that does not start the node.
 struct CommandLine {
-  Files files;
+  ConfigurationFiles files;
   std::optional<int> exit_code;
 };
 
-// Prints what is wrong with the files, or that nothing is; returns the exit code.
-int check(const Files& files) {
-  const std::string faults = told_whole(files);
-  std::cerr << faults;
-  const Read read = read_configuration(files, Source::environment_first);
-  if (read.taken) {
+// Prints the errors in the files, or that they are valid. Returns the exit code.
+int check_configuration(const ConfigurationFiles& files) {
+  const std::string diagnostics = format_all_diagnostics(files);
+  std::cerr << diagnostics;
+  const ConfigurationResult result = read_configuration(files, ConfigurationSource::environment_first);
+  if (result.configuration) {
     std::cout << "the configuration is good" << std::endl;
-    return kExitGood;
+    return kExitSuccess;
   }
-  // Faults of files that are not in the language are not among those printed.
-  if (faults.find(read.fault.substr(0, read.fault.find(": "))) == std::string::npos) {
-    std::cerr << "dapplewharf: " << read.fault << std::endl;
+  // Errors in JSON files are not among the diagnostics printed above.
+  if (diagnostics.find(result.error.substr(0, result.error.find(": "))) == std::string::npos) {
+    std::cerr << "dapplewharf: " << result.error << std::endl;
   }
-  return kExitUnusable;
+  return kExitInvalidInput;
 }
 
-CommandLine parse(int count, char** words) {
-  CommandLine out;
+CommandLine parse_arguments(int count, char** arguments) {
+  CommandLine command;
   CLI::App app(
       "A balancer for long-lived connections. Without arguments it reads the JSON that PROXY_CONFIG names.");
   bool only_check = false;
-  app.add_option("--config", out.files.language,
+  app.add_option("--config", command.files.operators_language,
                  "a configuration in the operators' language, in place of PROXY_CONFIG");
-  app.add_option("--operator", out.files.operators, "the operators' own settings, beside the configuration");
-  app.add_option("--shadow", out.files.shadow,
+  app.add_option("--operator", command.files.operator_settings,
+                 "the operators' own settings, beside the configuration");
+  app.add_option("--shadow", command.files.shadow_settings,
                  "settings of another shape that are only watched: how they would have decided is counted");
   app.add_flag("--check", only_check, "only checks; exit 0 good, 2 faulty");
   app.set_version_flag("--version", std::string("dapplewharf ") + kVersion);
   app.footer("Example: dapplewharf --config host-floor.dw --check");
   try {
-    app.parse(count, words);
-  } catch (const CLI::Success& answered) {
-    return {{}, app.exit(answered)};
+    app.parse(count, arguments);
+  } catch (const CLI::Success& help_or_version) {
+    return {{}, app.exit(help_or_version)};
   } catch (const CLI::ParseError& error) {
     std::cerr << "dapplewharf:0:0: " << error.what() << "; expected arguments as --help shows" << std::endl;
-    return {{}, kExitUnusable};
+    return {{}, kExitInvalidInput};
   }
   const char* variable = std::getenv("PROXY_CONFIG");
-  out.files.json = variable ? variable : "";
+  command.files.platform_json = variable ? variable : "";
   if (only_check) {
-    out.exit_code = check(out.files);
+    command.exit_code = check_configuration(command.files);
   }
-  return out;
+  return command;
 }
 
-int serve(const Files& files) {
-  open_signals();
-  Read first = read_at_start(files);
-  if (!first.taken) {
-    throw std::runtime_error(first.fault);
+int serve(const ConfigurationFiles& files) {
+  install_signal_handlers();
+  ConfigurationResult initial = read_configuration_at_start(files);
+  if (!initial.configuration) {
+    throw std::runtime_error(initial.error);
   }
-  first.taken->descriptors = descriptor_limit(first.taken->descriptors);
-  configure_logging(first.taken->log);
+  initial.configuration->descriptors = descriptor_limit(initial.configuration->descriptors);
+  configure_logging(initial.configuration->log);
   EventLoop loop;
-  Node node(loop, std::move(*first.taken));
+  Node node(loop, std::move(*initial.configuration));
   Reloader reloader(loop, node, files);
-  loop.watch(signal_pipe[0], POLLIN, [&](short) { read_signals(node, reloader); });
-  if (const auto fault = node.start()) {
-    throw std::runtime_error("'listen' cannot be used: " + *fault);
+  loop.watch(signal_pipe[0], POLLIN, [&](short) { handle_signals(node, reloader); });
+  if (const auto error = node.start()) {
+    throw std::runtime_error("'listen' cannot be used: " + *error);
   }
   spdlog::info("started");
-  while (!node.done()) {
+  while (!node.may_exit()) {
     loop.run_once(kSecond);
-    node.settle();
+    node.process_events();
   }
-  node.report();
+  node.log_counters();
   spdlog::info("ended");
-  return kExitGood;
+  return kExitSuccess;
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  const CommandLine command = parse(count, words);
+int main(int count, char** arguments) {
+  const CommandLine command = parse_arguments(count, arguments);
   if (command.exit_code) {
     return *command.exit_code;
   }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,7 +1,7 @@
-// The node: joins the load balancer with the network. Owns the load balancer, the optional shadow, and the
-// parts that speak to clients and hosts, to discovery, to health-checked hosts and to the other nodes; passes
-// events one way and actions the other. Chooses no host, no retry, no rejection and no migration. Design:
-// docs/design.md.
+// The node connects the load balancer to the network. It owns the load balancer, the optional shadow, and the
+// components that communicate with clients, endpoints, discovery and the other nodes. It passes their events
+// to the load balancer and executes the load balancer's actions; it does not itself choose endpoints,
+// retries, rejections or migrations. Design: docs/design.md.
 #pragma once
 #include <map>
 #include <memory>
@@ -29,51 +29,51 @@
   /// Throws std::runtime_error when a setting is missing.
   Node(EventLoop& loop, Configuration configuration);
 
-  /// Starts to serve. Returns what went wrong, if anything.
+  /// Starts serving clients. Returns an error message on failure, otherwise nothing.
   std::optional<std::string> start();
-  /// Hands the events of this turn to the load balancer and carries out its actions.
-  void settle();
-  /// Starts the shutdown (SIGTERM).
-  void stop();
-  /// Takes a new configuration, whole or not at all (SIGHUP).
-  void reload(const Read& read);
-  /// Whether the process may end.
-  [[nodiscard]] bool done();
+  /// Passes the queued events to the load balancer and executes its actions until no event is left.
+  void process_events();
+  /// Starts the shutdown; called on SIGTERM.
+  void begin_shutdown();
+  /// Applies a new configuration completely, or rejects it and changes nothing; called on SIGHUP.
+  void reload(const ConfigurationResult& result);
+  /// Whether the process may exit.
+  [[nodiscard]] bool may_exit();
   /// Logs the counters.
-  void report() const;
-  /// Null while no settings are shadowed.
+  void log_counters() const;
+  /// The running shadow; null if no settings are shadowed.
   [[nodiscard]] const Shadow* shadow() const { return shadow_.get(); }
 
  private:
   struct UnansweredLines {
-    std::string request_id;  // of one connection to the host
-    std::vector<Duration> ages;
+    std::string request_id;      // of any one connection to the endpoint
+    std::vector<Duration> ages;  // one per established connection; 0 if no line is unanswered
   };
-  using UnansweredByHost = std::map<std::string, UnansweredLines>;
+  using UnansweredByEndpoint = std::map<std::string, UnansweredLines>;
 
   void apply_settings();
-  EndpointSnapshot known_list();
-  void subscribe();
-  void apply_list(const EndpointSnapshot& list);
+  EndpointSnapshot cached_endpoint_list();
+  void schedule_watch();
+  void apply_endpoint_list(const EndpointSnapshot& list);
   void on_list_received(const EndpointSnapshot& list);
-  void on_discovery_lost();
-  void on_health_check_ended(const std::string& host, const HealthCheckResult& health_check);
-  void sample();
+  void on_watch_lost();
+  void on_health_check_ended(const std::string& endpoint, const HealthCheckResult& health_check);
+  void run_periodic_tasks();
   void exchange_gossip();
-  UnansweredByHost unanswered_lines(Duration since_last_sample);
-  void report_latencies(UnansweredByHost unanswered);
-  void carry_out(const StartAttempt& action);
-  void carry_out(const CancelAttempt& action);
-  void carry_out(const RejectRequest& action);
-  void carry_out(const FailRequest& action);
-  void carry_out(const MigrateConnection& action);
-  void carry_out(const CheckHealth& action);
-  void carry_out(const SetTimer& action);
-  void carry_out(const WatchEndpoints& action);
-  void carry_out(const FetchEndpoints& action);
-  void carry_out(const LogMessage& action);
+  UnansweredByEndpoint unanswered_lines(Duration since_last_run);
+  void report_latencies(UnansweredByEndpoint unanswered);
+  void execute(const StartAttempt& action);
+  void execute(const CancelAttempt& action);
+  void execute(const RejectRequest& action);
+  void execute(const FailRequest& action);
+  void execute(const MigrateConnection& action);
+  void execute(const CheckHealth& action);
+  void execute(const SetTimer& action);
+  void execute(const WatchEndpoints& action);
+  void execute(const FetchEndpoints& action);
+  void execute(const LogMessage& action);
   void run_shadow(const std::vector<PolicyEvent>& events, const std::vector<PolicyAction>& actions);
-  [[nodiscard]] std::string reload_fault(const Read& read) const;
+  [[nodiscard]] std::string reload_rejection_reason(const ConfigurationResult& result) const;
 
   EventLoop& loop_;
   Counters counters_;
@@ -83,18 +83,18 @@
   RandomGenerator random_;
   EventQueue events_;
   LoadBalancer load_balancer_;
-  std::unique_ptr<Shadow> shadow_;  // only while settings are shadowed
+  std::unique_ptr<Shadow> shadow_;  // null unless settings are shadowed
   EndpointDirectory endpoints_;
   Shutdown shutdown_;
   RequestHandler requests_;
   EndpointDiscovery discovery_;
   HealthChecker health_checker_;
   GossipSocket gossip_;
-  int discovery_losses_ = 0;  // calls lost in a row
-  TimePoint sampled_at_ = 0;
-  EventLoop::Deadline next_sample_;
-  EventLoop::Deadline next_subscription_;
-  EventLoop::Deadline close_requests_;
+  int consecutive_watch_failures_ = 0;
+  TimePoint last_periodic_run_at_ = 0;
+  EventLoop::Deadline periodic_deadline_;
+  EventLoop::Deadline watch_deadline_;
+  EventLoop::Deadline close_requests_deadline_;
 };
 
 }  // namespace dapplewharf
--- a/src/node/node_settings.cpp
+++ b/src/node/node_settings.cpp
@@ -1,4 +1,4 @@
-// From the platform's JSON to the node's settings. Design: docs/design.md.
+// Parsing of the node's settings from the platform's JSON. Design: docs/design.md.
 #include "node/node_settings.h"
 
 #include <nlohmann/json.hpp>
@@ -12,20 +12,20 @@
   return traffic ? traffic->repeat_rule : RepeatRule{};
 }
 
-NodeSettings node_settings_of(const nlohmann::json& source) {
-  NodeSettings to;
-  to.policy = parse_platform_settings(source);
+NodeSettings parse_node_settings(const nlohmann::json& source) {
+  NodeSettings settings;
+  settings.policy = parse_platform_settings(source);
   const nlohmann::json::json_pointer groups("/extra/groups");
-  to.affinity_groups = source.contains(groups) && source.at(groups) == true;
-  for (const TrafficClass& traffic : to.policy.traffic) {
-    to.request_schema.traffic[traffic.name] = traffic.deadline.value_or(kNever);
+  settings.affinity_groups = source.contains(groups) && source.at(groups) == true;
+  for (const TrafficClass& traffic : settings.policy.traffic) {
+    settings.request_schema.traffic[traffic.name] = traffic.deadline.value_or(kNever);
   }
-  for (const Tenant& tenant : to.policy.tenants) {
-    if (!tenant.name.empty()) {  // of the others only a quota is known
-      to.request_schema.tenants.insert(tenant.name);
+  for (const Tenant& tenant : settings.policy.tenants) {
+    if (!tenant.name.empty()) {  // a tenant without a name has only a quota
+      settings.request_schema.tenants.insert(tenant.name);
     }
   }
-  return to;
+  return settings;
 }
 
 }  // namespace dapplewharf
--- a/src/node/node_settings.h
+++ b/src/node/node_settings.h
@@ -1,4 +1,4 @@
-// What the node itself, beside the load balancer, takes from the settings: parsed once at the start and at
+// The node's settings: the load balancer's and those that the node itself uses. Parsed at the start and at
 // each reload. Plain data. Design: docs/design.md.
 #pragma once
 #include <nlohmann/json_fwd.hpp>
@@ -9,16 +9,17 @@
 
 namespace dapplewharf {
 
+/// The parsed settings.
 struct NodeSettings {
-  Settings policy;               ///< those of the load balancer
-  bool affinity_groups = false;  ///< clients' groups are passed on to the load balancer
-  RequestSchema request_schema;  ///< what a request line may name
+  Settings policy;               ///< the load balancer's settings
+  bool affinity_groups = false;  ///< whether affinity groups are passed to the load balancer
+  RequestSchema request_schema;  ///< the traffic types and tenants that a request line may name
 
-  /// The rule of a traffic type; a request of an unknown type may never be repeated.
+  /// The rule of a traffic type. For an unknown type the default rule, which never permits a repeat.
   [[nodiscard]] RepeatRule repeat_rule(const std::string& traffic_type) const;
 };
 
-/// All that the node takes from the platform's JSON. Throws SettingsError or nlohmann::json::exception.
-[[nodiscard]] NodeSettings node_settings_of(const nlohmann::json& source);
+/// Parses the platform's JSON settings. Throws SettingsError or nlohmann::json::exception.
+[[nodiscard]] NodeSettings parse_node_settings(const nlohmann::json& source);
 
 }  // namespace dapplewharf
--- a/src/node/proxied_connection.h
+++ b/src/node/proxied_connection.h
@@ -1,6 +1,6 @@
-// The state of one client's connection through the node, from its first byte to its end. Owns both sockets
-// and their buffers; the parts of the connection table share it, each with its own section. Plain data.
-// Design: docs/design.md.
+// The state of one client's connection through the node, from its first byte to its end: both sockets and
+// their buffers. Plain data that the components of the connection table share; each of them uses its own
+// section. Design: docs/design.md.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,54 +12,56 @@
 
 namespace dapplewharf {
 
-/// The bytes held for one side before the other side is no longer read.
+/// The most bytes that are buffered for one side; when they are reached, the other side is not read.
 constexpr std::size_t kPeerBufferBytes = 8 * 1024;
 
-/// One side of a proxied connection.
+/// One side of a proxied connection: the client or the host.
 struct Peer {
   Socket socket;
-  Handle watched;
-  std::string pending;        ///< bytes to be sent to this side
-  bool read_closed = false;   ///< it sends no more
-  bool write_closed = false;  ///< nothing more is sent to it
+  Handle watch_handle;
+  std::string pending;           ///< bytes to be sent to this side
+  bool is_read_closed = false;   ///< it has closed its sending side
+  bool is_write_closed = false;  ///< this node has closed its sending side
 };
 
-/// The attempt that is in progress, or the last one.
+/// The attempt in progress, or the last one.
 struct AttemptState {
-  bool active = false;
+  bool is_active = false;
   AttemptProgress progress = AttemptProgress::not_connected;
   TimePoint deadline = 0;
-  std::string answer;  ///< the host's first line, as far as it has come
+  std::string answer;  ///< the host's first line, as far as it has been received
 };
 
-/// What the relay knows of an established connection.
+/// The state of the relay of an established connection.
 struct RelayState {
-  std::optional<TimePoint> request_sent_at;  ///< of the client's first line since the host's last one
-  std::string partial_line;                  ///< the start of the host's line that is coming
-  LineType last_line = LineType::other;      ///< the host's last complete line
-  std::size_t complete_bytes = 0;            ///< of the bytes pending for the client, up to the end of a line
-  bool mid_line = false;                     ///< the client has the start of a line whose end has not come
-  bool migration_pending = false;            ///< to be migrated at the end of that line
-  bool client_closed_first = false;
-  TimePoint last_activity = 0;  ///< when bytes last came from either side
+  std::optional<TimePoint>
+      request_sent_at;       ///< when the client's first line after the host's last line was received
+  std::string partial_line;  ///< the beginning of the host's incomplete line
+  LineType last_line = LineType::other;  ///< the host's last complete line
+  std::size_t complete_bytes = 0;      ///< of the bytes pending for the client, those up to the last line end
+  bool is_mid_line = false;            ///< the client has been sent a line up to its middle
+  bool has_pending_migration = false;  ///< MOVE is to be sent at the end of that line
+  bool has_client_closed_first = false;
+  TimePoint last_activity = 0;  ///< when bytes were last received from either side
 };
 
+/// The connection of one client, and the one to its host if there is one.
 struct ProxiedConnection {
   enum class Phase {
-    greeting,     ///< the client has not sent a request yet
-    waiting,      ///< the client waits for the answer to its request
-    established,  ///< bytes pass both ways
-    closing       ///< the final answer is being sent
+    awaiting_request,  ///< the client has not sent a complete request yet
+    awaiting_answer,   ///< the client waits for the answer to its request
+    established,       ///< bytes are relayed in both directions
+    closing            ///< the final answer is being sent
   };
-  Phase phase = Phase::greeting;
+  Phase phase = Phase::awaiting_request;
   Peer client;
   Peer host;
-  EventLoop::Deadline deadline;  ///< of the current phase; a connection has only one
-  std::string client_prefix;     ///< what the client has sent, up to the end of its request line
+  EventLoop::Deadline deadline;  ///< of the current phase
+  std::string client_prefix;     ///< what the client has sent, up to the end of the request line
   RequestLine request;
   AttemptState attempt;
   RelayState relay;
-  std::size_t discarded_bytes = 0;  ///< received while closing
+  std::size_t discarded_bytes = 0;  ///< received and discarded while closing
 };
 
 }  // namespace dapplewharf
--- a/src/node/reload.cpp
+++ b/src/node/reload.cpp
@@ -1,4 +1,4 @@
-// The retries of a read that failed. Design: docs/design.md.
+// Retries of a failed read. Design: docs/design.md.
 #include "node/reload.h"
 
 #include "base/retry.h"
@@ -6,33 +6,33 @@
 namespace dapplewharf {
 namespace {
 
-constexpr RetrySchedule kReadAtStart{.max_attempts = 20, .delay = std::chrono::milliseconds(50)};
+constexpr RetrySchedule kStartReadRetries{.max_attempts = 20, .delay = std::chrono::milliseconds(50)};
 
 }  // namespace
 
-Read read_at_start(const Files& files) {
-  Read read;
-  retry_blocking(kReadAtStart, [&](int) {
-    read = read_configuration(files, Source::environment_first);
-    if (read.taken) {
+ConfigurationResult read_configuration_at_start(const ConfigurationFiles& files) {
+  ConfigurationResult result;
+  retry_blocking(kStartReadRetries, [&](int) {
+    result = read_configuration(files, ConfigurationSource::environment_first);
+    if (result.configuration) {
       return StepResult::succeeded;
     }
-    return read.unreadable ? StepResult::retry : StepResult::failed;
+    return result.is_unreadable ? StepResult::retry : StepResult::failed;
   });
-  return read;
+  return result;
 }
 
 void Reloader::reload() {
-  read(loop_.now() + kRetryFor);
+  read(loop_.now() + kRetryPeriod);
 }
 
 void Reloader::read(TimePoint until) {
-  const Read found = read_configuration(files_, Source::file_only);
-  if (!found.taken && found.unreadable && loop_.now() < until) {
+  const ConfigurationResult result = read_configuration(files_, ConfigurationSource::file_only);
+  if (!result.configuration && result.is_unreadable && loop_.now() < until) {
     return loop_.schedule(retry_, loop_.now() + kRetryDelay, [this, until] { read(until); });
   }
   loop_.cancel(retry_);
-  node_.reload(found);
+  node_.reload(result);
 }
 
 }  // namespace dapplewharf
--- a/src/node/reload.h
+++ b/src/node/reload.h
@@ -1,23 +1,24 @@
-// Reads the configuration where that may fail for a moment: at the start and at a SIGHUP. Owns how often and
-// how long it is tried. Design: docs/design.md.
+// Reads the configuration at the start and at SIGHUP, and retries if a file is temporarily unreadable.
+// Design: docs/design.md.
 #pragma once
 #include "node/node.h"
 
 namespace dapplewharf {
 
-/// Reads the configuration at the start; blocks for up to a second while a file cannot be read.
-[[nodiscard]] Read read_at_start(const Files& files);
+/// Reads the configuration at the start. Blocks for up to 1 s while a file cannot be read.
+[[nodiscard]] ConfigurationResult read_configuration_at_start(const ConfigurationFiles& files);
 
 /// Reads the configuration again while the node runs. `node` and `files` outlive it.
 class Reloader {
  public:
-  Reloader(EventLoop& loop, Node& node, const Files& files) : loop_(loop), node_(node), files_(files) {}
-  /// Reads the files and gives the result to the node. A file that cannot be read is tried again until
-  /// `kRetryFor` is over: a SIGHUP comes only once, and a new discovery address counts as notified 4 s after
-  /// it.
+  Reloader(EventLoop& loop, Node& node, const ConfigurationFiles& files)
+      : loop_(loop), node_(node), files_(files) {}
+  /// Reads the files and passes the result to the node. If a file cannot be read, reading is retried for
+  /// `kRetryPeriod`: the SIGHUP is not repeated, and 4 s after it the node is deemed notified of the changes
+  /// at a new discovery address.
   void reload();
 
-  static constexpr Duration kRetryFor = 2 * kSecond;
+  static constexpr Duration kRetryPeriod = 2 * kSecond;
   static constexpr Duration kRetryDelay = 50 * kMs;
 
  private:
@@ -25,7 +26,7 @@
 
   EventLoop& loop_;
   Node& node_;
-  const Files& files_;
+  const ConfigurationFiles& files_;
   EventLoop::Deadline retry_;
 };
 
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -1,4 +1,4 @@
-// A request's way: opened, attempted, established or answered, released. Design: docs/design.md.
+// The steps of a request: opened, attempted, established or answered, released. Design: docs/design.md.
 #include "node/request_handler.h"
 
 #include <spdlog/spdlog.h>
@@ -35,30 +35,30 @@
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-// ---- what clients and hosts do ----
+// ---- notifications from the connection table ----
 
 void RequestHandler::on_request(Handle handle, const RequestLine& line) {
   const std::string id = id_of(handle);
-  const bool adopted = !line.at.empty();
+  const bool is_adopted = !line.at.empty();
   const RequestAttributes attributes = attributes_of(id, line);
   Request request;
   request.handle = handle;
   request.client_id = line.id;
-  if (adopted) {
+  if (is_adopted) {
     events_.add(ConnectionAdopted{.request = attributes, .endpoint = line.at, .is_pending = true});
     ++counters_.connections_adopted;
-    request.host = line.at;
-    request.adopted = true;
+    request.endpoint = line.at;
+    request.is_adopted = true;
     request.attempts = 1;
     request.sent_at = loop_.now();
-    request.attempt_in_progress = true;
+    request.has_attempt_in_progress = true;
     request.reconnect.emplace(loop_.now(), line.wait);
   } else {
     events_.add(RequestReceived{.request = attributes});
   }
   ledger_.open(id, settings_.repeat_rule(line.traffic_type), attributes.deadline);
   requests_[id] = std::move(request);
-  if (adopted) {
+  if (is_adopted) {
     reconnect(handle);
   }
 }
@@ -89,11 +89,11 @@
   const std::string id = id_of(handle);
   events_.add(ClientDisconnected{.request_id = id});
   ledger_.client_left(id);
-  if (!request->attempt_in_progress) {
+  if (!request->has_attempt_in_progress) {
     return release(id);
   }
-  request->client_done = true;
-  if (request->between_attempts) {
+  request->is_client_done = true;
+  if (request->is_between_attempts) {
     on_attempt_ended(handle, {AttemptProgress::not_connected, TerminationReason::client_gone});
   }
 }
@@ -108,26 +108,26 @@
     report_violation("pass on UP to", id, violation);
   }
   ledger_.answered(id);
-  request->established = true;
+  request->is_established = true;
   const Duration setup_time = loop_.now() - request->sent_at;
   events_.add(AttemptEstablished{.request_id = id,
-                                 .endpoint = request->host,
+                                 .endpoint = request->endpoint,
                                  .attempt = request->attempts - 1,
                                  .setup_time = setup_time});
-  spdlog::debug("connection_established host={} setup_ms={} adopted={}", request->host, setup_time / kMs,
-                request->adopted);
+  spdlog::debug("connection_established host={} setup_ms={} adopted={}", request->endpoint, setup_time / kMs,
+                request->is_adopted);
 }
 
 void RequestHandler::on_attempt_ended(Handle handle, AttemptResult result) {
   Request* request = find(handle);
-  if (!request || !request->attempt_in_progress) {
+  if (!request || !request->has_attempt_in_progress) {
     return;
   }
   const Outcome outcome = outcome_of(result);
-  if (!request->between_attempts) {
+  if (!request->is_between_attempts) {
     ledger_.ended(id_of(handle), may_have_run(outcome));
   }
-  if (request->awaits_reconnect() && reconnect_later(handle, *request, result)) {
+  if (request->awaits_reconnect() && schedule_reconnect(handle, *request, result)) {
     return;
   }
   report_attempt_end(handle, *request, outcome);
@@ -135,28 +135,28 @@
 
 void RequestHandler::report_attempt_end(Handle handle, Request& request, Outcome outcome) {
   const std::string id = id_of(handle);
-  const bool final = request.established || request.client_done || request.adopted;
+  const bool is_final = request.is_established || request.is_client_done || request.is_adopted;
   const Duration duration = loop_.now() - request.sent_at;
   events_.add(AttemptEnded{.request_id = id,
-                           .endpoint = request.host,
+                           .endpoint = request.endpoint,
                            .attempt = request.attempts - 1,
                            .outcome = outcome,
                            .duration = duration,
-                           .is_final = final});
+                           .is_final = is_final});
   count(outcome);
   if (outcome == Outcome::withdrawn) {
-    --request.attempts;  // nothing of it left this process
+    --request.attempts;  // nothing was sent, so it does not count
   }
   // tools/count.awk reads these lines.
   spdlog::debug("{} host={} outcome={} duration_ms={}",
-                request.established ? "connection_ended" : "attempt_ended", request.host, name_of(outcome),
-                duration / kMs);
-  request.attempt_in_progress = false;
-  if (request.awaits_reconnect()) {  // its host cannot be had any more: the connection has ended
+                request.is_established ? "connection_ended" : "attempt_ended", request.endpoint,
+                name_of(outcome), duration / kMs);
+  request.has_attempt_in_progress = false;
+  if (request.awaits_reconnect()) {  // no further attempt is allowed: the connection has ended
     ++counters_.requests_failed;
     return answer(id, FinalAnswer::error, kErrorLine);
   }
-  if (final) {
+  if (is_final) {
     release(id);
   }
 }
@@ -198,42 +198,43 @@
   if (!request) {
     return true;
   }
-  // An adopted connection is nothing new to its host: it was open there before.
-  const bool permitted = request->adopted || endpoints_.permits(request->host, EndpointUse::new_request);
-  return !ledger_.check_send(id_of(handle), permitted, loop_.now());
+  // An adopted connection is not new work for its endpoint: it was open there before.
+  const bool is_permitted =
+      request->is_adopted || endpoints_.permits(request->endpoint, EndpointUse::new_request);
+  return !ledger_.check_send(id_of(handle), is_permitted, loop_.now());
 }
 
 void RequestHandler::on_line_answered(Handle handle, Duration latency) {
   const Request* request = find(handle);
-  if (request && loop_.lateness() < kHeldUp) {
-    endpoints_.latency(request->host).record_line(loop_.now(), latency);
+  if (request && loop_.lateness() < kMaxSampleLateness) {
+    endpoints_.latency(request->endpoint).record_line(loop_.now(), latency);
   }
 }
 
 void RequestHandler::on_load_reported(Handle handle, double load) {
   if (const Request* request = find(handle)) {
-    events_.add(LoadReported{.request_id = id_of(handle), .endpoint = request->host, .work = load});
+    events_.add(LoadReported{.request_id = id_of(handle), .endpoint = request->endpoint, .work = load});
   }
 }
 
-// ---- what the load balancer decides ----
+// ---- actions of the load balancer ----
 
-void RequestHandler::start_attempt(const std::string& id, const std::string& host, Duration timeout) {
+void RequestHandler::start_attempt(const std::string& id, const std::string& endpoint, Duration timeout) {
   Request* request = find(id);
   if (!request) {
     return;
   }
-  request->host = host;
+  request->endpoint = endpoint;
   request->sent_at = loop_.now();
   ++request->attempts;
-  request->attempt_in_progress = true;
+  request->has_attempt_in_progress = true;
   const auto violation = begin_attempt(*request, id, {.total = timeout, .connect = std::nullopt});
   if (!violation) {
     return;
   }
   report_violation("begin an attempt for", id, violation);
   events_.add(AttemptEnded{.request_id = id,
-                           .endpoint = host,
+                           .endpoint = endpoint,
                            .attempt = request->attempts - 1,
                            .outcome = Outcome::not_sent,
                            .duration = 0,
@@ -241,16 +242,16 @@
   answer(id, FinalAnswer::error, kErrorLine);
 }
 
-// The one way to an attempt: nothing goes to a host that the ledger refuses.
+// Every attempt is started here, so that the ledger checks each of them.
 std::optional<Violation> RequestHandler::begin_attempt(Request& request, const std::string& id,
                                                        const AttemptTimeouts& timeouts) {
-  const EndpointLocation location = endpoints_.location(request.host);
-  // Whether the endpoint drains is asked just before the first byte is sent.
+  const EndpointLocation location = endpoints_.location(request.endpoint);
+  // Whether the endpoint is draining is checked in `may_send`, just before the first byte is sent.
   if (const auto violation = ledger_.check_attempt(id, location, true, loop_.now())) {
     return violation;
   }
   ledger_.begun(id, location, loop_.now());
-  connections_.begin_attempt(request.handle, {.address = parse_address(endpoints_.address(request.host)),
+  connections_.begin_attempt(request.handle, {.address = parse_address(endpoints_.address(request.endpoint)),
                                               .timeout = timeouts.total,
                                               .connect_timeout = timeouts.connect});
   return std::nullopt;
@@ -283,16 +284,16 @@
     return;
   }
   ++counters_.connections_migrated;
-  spdlog::debug("connection_migrated host={}", request->host);
+  spdlog::debug("connection_migrated host={}", request->endpoint);
   const Handle handle = request->handle;
   ledger_.answered(id);
-  request->client_done = true;
+  request->is_client_done = true;
   on_attempt_ended(handle, {AttemptProgress::established, TerminationReason::cancelled});
   connections_.migrate(handle);
 }
 
-// The one way to the final answers BUSY and ERR. A rejection says that a retry is harmless; where it is not,
-// the client is told of a failure in its place.
+// Every final answer BUSY or ERR is sent here. BUSY tells the client that a retry is harmless; if the request
+// may have run and a repeat would not be dropped, ERR is sent instead.
 void RequestHandler::answer(const std::string& id, FinalAnswer kind, const std::string& line) {
   const Request* request = find(id);
   if (!request) {
@@ -330,10 +331,10 @@
 
 void RequestHandler::reconnect(Handle handle) {
   Request* request = find(handle);
-  if (!request || request->established || request->client_done) {
+  if (!request || request->is_established || request->is_client_done) {
     return;
   }
-  request->between_attempts = false;
+  request->is_between_attempts = false;
   Duration timeout = request->reconnect->attempt_time(loop_.now());
   if (shutdown_.in_progress()) {
     timeout = std::max<Duration>(1, std::min(timeout, shutdown_.answers_due() - loop_.now()));
@@ -341,21 +342,22 @@
   if (!begin_attempt(*request, id_of(handle), {.total = timeout, .connect = timeout})) {
     return;
   }
-  request->between_attempts = true;
+  request->is_between_attempts = true;
   on_attempt_ended(handle, {AttemptProgress::not_connected, TerminationReason::withdrawn});
 }
 
-// Returns false when no attempt may follow. No single failure ends an adopted connection: only a rule, its
-// client, its host's leaving, this node's shutdown or the end of its time does.
-bool RequestHandler::reconnect_later(Handle handle, Request& request, AttemptResult result) {
-  if (request.between_attempts) {
-    return false;  // the ledger has refused the attempt
+// Schedules the next attempt for an adopted connection. Returns false if no attempt may follow. A single
+// failure does not end an adopted connection; a violated rule, the client, the removal of its endpoint, this
+// node's shutdown or the expiry of its time limit does.
+bool RequestHandler::schedule_reconnect(Handle handle, Request& request, AttemptResult result) {
+  if (request.is_between_attempts) {
+    return false;  // the ledger did not allow the attempt
   }
-  const bool listed = !endpoints_.address(request.host).empty();
-  const bool permitted = endpoints_.permits(request.host, EndpointUse::reconnect_later);
+  const bool is_listed = !endpoints_.address(request.endpoint).empty();
+  const bool is_permitted = endpoints_.permits(request.endpoint, EndpointUse::reconnect);
   const auto violation =
-      ledger_.check_attempt(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
-  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), listed, random_.next_fraction());
+      ledger_.check_attempt(id_of(handle), endpoints_.location(request.endpoint), is_permitted, loop_.now());
+  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), is_listed, random_.next_fraction());
   if (violation || shutdown_.in_progress()) {
     delay.reset();
   }
@@ -364,8 +366,8 @@
     return false;
   }
   ++counters_.reconnects;
-  request.between_attempts = true;
-  EventLoop::Deadline retry;  // never cancelled: `reconnect` looks whether it still applies
+  request.is_between_attempts = true;
+  EventLoop::Deadline retry;  // never cancelled: `reconnect` checks whether the attempt is still wanted
   loop_.schedule(retry, loop_.now() + *delay, [this, handle] { reconnect(handle); });
   return true;
 }
@@ -375,38 +377,38 @@
   const Duration duration = loop_.now() - request.sent_at;
   if (delay) {
     spdlog::info("reconnect_scheduled request={} host={} duration_ms={} progress={} reason={} delay_ms={}",
-                 request.client_id, request.host, duration / kMs, name_of(result.progress),
+                 request.client_id, request.endpoint, duration / kMs, name_of(result.progress),
                  name_of(result.reason), *delay / kMs);
     return;
   }
   const char* cause = violation                 ? name_of(*violation)
-                      : shutdown_.in_progress() ? "the node ends"
-                                                : "its time is over";
+                      : shutdown_.in_progress() ? "node is shutting down"
+                                                : "time limit reached";
   spdlog::warn("reconnect_abandoned request={} host={} duration_ms={} progress={} reason={} cause=\"{}\"",
-               request.client_id, request.host, duration / kMs, name_of(result.progress),
+               request.client_id, request.endpoint, duration / kMs, name_of(result.progress),
                name_of(result.reason), cause);
 }
 
-// ---- shutdown and what others ask ----
+// ---- shutdown and queries ----
 
-void RequestHandler::shorten_to_shutdown() {
+void RequestHandler::limit_to_shutdown() {
   connections_.shorten_attempts(shutdown_.answers_due());
   ledger_.expire_by(shutdown_.ends_by());
 }
 
-void RequestHandler::close_all() {
-  std::vector<std::string> left;
+void RequestHandler::close_remaining_requests() {
+  std::vector<std::string> remaining;
   for (const auto& [id, request] : requests_) {
-    if (!request.client_done) {
-      left.push_back(id);
+    if (!request.is_client_done) {
+      remaining.push_back(id);
     }
   }
-  for (const std::string& id : left) {
+  for (const std::string& id : remaining) {
     const Request& request = requests_.at(id);
-    const bool established = request.established || request.adopted;
+    const bool is_established = request.is_established || request.is_adopted;
     spdlog::warn("closed_at_shutdown request={} answer={}", request.client_id,
-                 established ? "migrate" : "fail");
-    if (established) {
+                 is_established ? "migrate" : "fail");
+    if (is_established) {
       migrate(id);
     } else {
       fail(id);
@@ -414,15 +416,15 @@
   }
 }
 
-bool RequestHandler::idle() {
-  return requests_.empty() && connections_.busy() == 0;
+bool RequestHandler::is_idle() {
+  return requests_.empty() && connections_.active_count() == 0;
 }
 
-PeerLoadTable::Counts RequestHandler::load_by_host() const {
+PeerLoadTable::Counts RequestHandler::load_by_endpoint() const {
   PeerLoadTable::Counts counts;
   for (const auto& [id, request] : requests_) {
-    if (request.attempt_in_progress && !request.client_done) {
-      ++counts[request.host];
+    if (request.has_attempt_in_progress && !request.is_client_done) {
+      ++counts[request.endpoint];
     }
   }
   return counts;
--- a/src/node/request_handler.h
+++ b/src/node/request_handler.h
@@ -1,7 +1,8 @@
-// The requests and connections that the node holds: carries out the load balancer's decisions on them and
-// tells it what became of each. Owns the connection table, the ledger that every attempt and final answer has
-// to pass, and one record a request. Chooses no host, no retry and no rejection; only a connection adopted
-// from before this process is dialled again here, at its own host. Design: docs/design.md.
+// Executes the load balancer's decisions on requests and connections and reports the results to it as events.
+// Owns the connection table, the ledger that checks every attempt and final answer, and one record per
+// request. It does not choose endpoints, retries or rejections. The exception is an adopted connection, which
+// was open before this process started: it is reconnected here, always to its own endpoint. Design:
+// docs/design.md.
 #pragma once
 #include <optional>
 #include <string>
@@ -20,7 +21,7 @@
 
 namespace dapplewharf {
 
-/// What a RequestHandler shares with the rest of the node. All of it outlives the handler.
+/// The objects that a RequestHandler shares with the rest of the node. All of them outlive the handler.
 struct RequestContext {
   EventLoop& loop;
   Counters& counters;
@@ -32,43 +33,49 @@
   RandomGenerator& random;
 };
 
+/// Holds all requests and connections of the node.
 class RequestHandler : private ConnectionObserver {
  public:
   explicit RequestHandler(const RequestContext& context);
 
-  /// Starts to accept clients. Returns what went wrong, if anything.
+  /// Starts accepting clients at `address`. Returns an error message on failure, otherwise nothing.
   std::optional<std::string> listen(const sockaddr_in& address) { return connections_.listen(address); }
 
+  /// Starts an attempt at an endpoint.
   /// @param timeout for the whole attempt, in ticks of 0.1 ms.
-  void start_attempt(const std::string& id, const std::string& host, Duration timeout);
+  void start_attempt(const std::string& id, const std::string& endpoint, Duration timeout);
+  /// Cancels the attempt in progress.
   void cancel_attempt(const std::string& id);
-  /// Answers BUSY. @param retry_after when the client may come back, in ticks of 0.1 ms; 0: not told.
+  /// Answers BUSY.
+  /// @param retry_after when the client may retry, in ticks of 0.1 ms; 0: the answer names no time.
   void reject(const std::string& id, Duration retry_after);
   /// Answers ERR.
   void fail(const std::string& id);
   /// Tells the client of an established or adopted connection to reconnect elsewhere.
   void migrate(const std::string& id);
 
-  /// The shutdown has begun: nothing that is in flight may last longer than it.
-  void shorten_to_shutdown();
-  /// Migrates or fails whatever is left.
-  void close_all();
-  /// Whether no request is held and no client has begun one.
-  [[nodiscard]] bool idle();
-  /// Accepts whoever waits; whether there was anybody, or may be because accept failed.
+  /// Limits all attempts and requests in flight to the shutdown, which has begun.
+  void limit_to_shutdown();
+  /// Migrates the remaining connections and fails the remaining requests.
+  void close_remaining_requests();
+  /// Whether there is no request and no client has begun to send one.
+  [[nodiscard]] bool is_idle();
+  /// Accepts the clients in the accept queue. Returns whether there were any, or may be some because accept
+  /// failed.
   bool accept_pending() { return connections_.accept_pending(); }
 
-  [[nodiscard]] std::size_t open_connections() const { return connections_.open(); }
-  /// Attempts and connections in progress, by host.
-  [[nodiscard]] PeerLoadTable::Counts load_by_host() const;
-  /// Calls `visit(id, host, unanswered)` for each established connection that stays where it is, with how
-  /// long its client has waited for an answer to a line; 0 when it does not wait.
+  [[nodiscard]] std::size_t connection_count() const { return connections_.count(); }
+  /// Attempts in progress and open connections per endpoint.
+  [[nodiscard]] PeerLoadTable::Counts load_by_endpoint() const;
+  /// Calls `visit(id, endpoint, unanswered)` for each established connection that is not being migrated.
+  /// `unanswered` is how long its client has been waiting for the answer to a line, in ticks of 0.1 ms; 0 if
+  /// it is not waiting.
   template <class Visit>
-  void each_established(Visit visit) {
-    connections_.each_established([&](Handle handle, Duration unanswered) {
+  void for_each_established(Visit visit) {
+    connections_.for_each_established([&](Handle handle, Duration unanswered) {
       const Request* request = find(handle);
-      if (request && request->established) {
-        visit(id_of(handle), request->host, unanswered);
+      if (request && request->is_established) {
+        visit(id_of(handle), request->endpoint, unanswered);
       }
     });
   }
@@ -76,19 +83,19 @@
  private:
   struct Request {
     Handle handle;
-    std::string client_id;  // the client's own, for the log
-    std::string host;
+    std::string client_id;  // as the client sent it; for the log
+    std::string endpoint;
     int attempts = 0;
     TimePoint sent_at = 0;
-    bool attempt_in_progress = false;  // or the connection that it became
-    bool established = false;
-    bool client_done = false;                  // it was answered, migrated or left
-    bool adopted = false;                      // it was open at its host before this process started
-    bool between_attempts = false;             // of an adopted one: the next attempt has not begun yet
-    std::optional<ReconnectPolicy> reconnect;  // of an adopted one
+    bool has_attempt_in_progress = false;  // or an open connection
+    bool is_established = false;
+    bool is_client_done = false;               // answered, migrated or disconnected
+    bool is_adopted = false;                   // open at its endpoint before this process started
+    bool is_between_attempts = false;          // adopted; the next attempt has not begun yet
+    std::optional<ReconnectPolicy> reconnect;  // only if adopted
 
-    /// Adopted, and its host has not answered again yet.
-    [[nodiscard]] bool awaits_reconnect() const { return adopted && !established && !client_done; }
+    /// Whether it is adopted and its endpoint has not answered UP again yet.
+    [[nodiscard]] bool awaits_reconnect() const { return is_adopted && !is_established && !is_client_done; }
   };
   struct AttemptTimeouts {
     Duration total = 0;
@@ -110,7 +117,7 @@
   std::optional<Violation> begin_attempt(Request& request, const std::string& id,
                                          const AttemptTimeouts& timeouts);
   void reconnect(Handle handle);
-  bool reconnect_later(Handle handle, Request& request, AttemptResult result);
+  bool schedule_reconnect(Handle handle, Request& request, AttemptResult result);
   void log_reconnect(const Request& request, AttemptResult result, std::optional<Duration> delay,
                      std::optional<Violation> violation) const;
   void report_attempt_end(Handle handle, Request& request, Outcome outcome);
@@ -127,13 +134,13 @@
   const Shutdown& shutdown_;
   EventQueue& events_;
   RandomGenerator& random_;
-  std::unordered_map<std::string, Request> requests_;  // by the id that the load balancer knows
+  std::unordered_map<std::string, Request> requests_;  // by the id used in events and actions
   RequestLedger ledger_;
   ConnectionTable connections_;
 };
 
-/// A turn of the event loop that came later than this says that the process was held up: what it measured
-/// then is its own delay. Ticks of 0.1 ms.
-constexpr Duration kHeldUp = 50 * kMs;
+/// Latencies are not recorded in a turn of the event loop that is later than this, in ticks of 0.1 ms: the
+/// process was held up, and the latencies would include its own delay.
+constexpr Duration kMaxSampleLateness = 50 * kMs;
 
 }  // namespace dapplewharf
