--- a/src/node/shadow.cpp
+++ b/src/node/shadow.cpp
@@ -1,4 +1,4 @@
-// Events as the second load balancer is to hear them, and the comparison of its decisions with the real ones.
+// Translation of events for the second load balancer, and comparison of its decisions with the real ones.
 // Design: docs/design.md.
 #include "node/shadow.h"
 
@@ -14,20 +14,20 @@
 namespace dapplewharf {
 namespace {
 
-// The request that an event or action is about; empty where it is about none.
-template <class Words>
-std::string request_id_of(const Words& words) {
+// Returns the id of the request that an event or action refers to; empty if it refers to none.
+template <class Message>
+std::string request_id_of(const Message& message) {
   return std::visit(
-      [](const auto& one) -> std::string {
-        if constexpr (requires { one.request_id; }) {
-          return one.request_id;
-        } else if constexpr (requires { one.request.id; }) {
-          return one.request.id;
+      [](const auto& typed_message) -> std::string {
+        if constexpr (requires { typed_message.request_id; }) {
+          return typed_message.request_id;
+        } else if constexpr (requires { typed_message.request.id; }) {
+          return typed_message.request.id;
         } else {
           return "";
         }
       },
-      words);
+      message);
 }
 
 }  // namespace
@@ -49,140 +49,142 @@
   }
 }
 
-void Shadow::follow(TimePoint now, const std::vector<PolicyEvent>& events,
-                    const std::vector<PolicyAction>& real) {
+void Shadow::observe(TimePoint now, const std::vector<PolicyEvent>& events,
+                     const std::vector<PolicyAction>& real_actions) {
   if (!load_balancer_) {
     return;
   }
   try {
-    follow_batch(now, events, real);
+    observe_batch(now, events, real_actions);
   } catch (const std::exception& error) {
-    // A fault of what is only compared must not reach the decisions that count.
+    // An exception of the second load balancer must not affect the real decisions.
     error_ = error.what();
     load_balancer_.reset();
-    followed_.clear();
+    tracked_requests_.clear();
   }
 }
 
-void Shadow::follow_batch(TimePoint now, const std::vector<PolicyEvent>& events,
-                          const std::vector<PolicyAction>& real) {
-  std::vector<PolicyEvent> heard;
+void Shadow::observe_batch(TimePoint now, const std::vector<PolicyEvent>& events,
+                           const std::vector<PolicyAction>& real_actions) {
+  std::vector<PolicyEvent> shadow_events;
   if (timer_ && now >= *timer_) {
     timer_.reset();
-    heard.push_back(TimerFired{});
+    shadow_events.push_back(TimerFired{});
   }
   for (const PolicyEvent& event : events) {
     if (std::optional<PolicyEvent> translated = translate(event)) {
-      heard.push_back(std::move(*translated));
+      shadow_events.push_back(std::move(*translated));
     }
   }
-  feed(now, heard);
+  send_to_shadow(now, shadow_events);
   std::vector<PolicyEvent> corrections;
-  for (const PolicyAction& action : real) {
+  for (const PolicyAction& action : real_actions) {
     compare(action, corrections);
   }
-  feed(now, corrections);
+  send_to_shadow(now, corrections);
   for (const PolicyEvent& event : events) {
-    forget_if_over(request_id_of(event));
+    erase_if_ended(request_id_of(event));
   }
-  for (const PolicyAction& action : real) {
-    forget_if_over(request_id_of(action));
+  for (const PolicyAction& action : real_actions) {
+    erase_if_ended(request_id_of(action));
   }
 }
 
-void Shadow::feed(TimePoint now, const std::vector<PolicyEvent>& events) {
+void Shadow::send_to_shadow(TimePoint now, const std::vector<PolicyEvent>& events) {
   if (events.empty()) {
     return;
   }
-  for (const PolicyAction& would : load_balancer_->handle_events(now, events)) {
-    record(now, would);
+  for (const PolicyAction& shadow_action : load_balancer_->handle_events(now, events)) {
+    record(now, shadow_action);
   }
 }
 
-Shadow::Followed* Shadow::find(const std::string& request_id) {
-  const auto found = followed_.find(request_id);
-  return found == followed_.end() ? nullptr : &found->second;
+Shadow::TrackedRequest* Shadow::find(const std::string& request_id) {
+  const auto found = tracked_requests_.find(request_id);
+  return found == tracked_requests_.end() ? nullptr : &found->second;
 }
 
 bool Shadow::knows(const std::string& request_id) {
-  const Followed* followed = find(request_id);
-  return followed && followed->is_known;
+  const TrackedRequest* tracked = find(request_id);
+  return tracked && tracked->is_known;
 }
 
 void Shadow::open(const RequestAttributes& request, bool adopted, bool is_pending) {
-  Followed& followed = followed_[request.id];
-  followed.request = request;
-  followed.is_pending = is_pending;
-  followed.attempt_in_progress = adopted;
+  TrackedRequest& tracked = tracked_requests_[request.id];
+  tracked.request = request;
+  tracked.is_pending = is_pending;
+  tracked.has_attempt_in_progress = adopted;
 }
 
-void Shadow::forget_if_over(const std::string& request_id) {
-  const Followed* followed = find(request_id);
-  if (followed && followed->answered && !followed->attempt_in_progress) {
-    followed_.erase(request_id);
+void Shadow::erase_if_ended(const std::string& request_id) {
+  const TrackedRequest* tracked = find(request_id);
+  if (tracked && tracked->is_answered && !tracked->has_attempt_in_progress) {
+    tracked_requests_.erase(request_id);
   }
 }
 
 // ---- events ----
 
-// The event as the second load balancer is to hear it; nothing where it does not hold the request any more.
+// Translates an event for the second load balancer. Returns nothing if it no longer has the request, and for
+// timers of the real load balancer: the second one's own timers are kept in `timer_`.
 std::optional<PolicyEvent> Shadow::translate(const PolicyEvent& event) {
   using Translated = std::optional<PolicyEvent>;
   const auto if_known = [&](const std::string& request_id) {
     return knows(request_id) ? Translated(event) : std::nullopt;
   };
-  return std::visit(Overloaded{[&](const EndpointsCached&) { return Translated(event); },
-                               [&](const EndpointsSnapshot&) { return Translated(event); },
-                               [&](const EndpointsUpdate&) { return Translated(event); },
-                               [&](const EndpointWatchFailed&) { return Translated(event); },
-                               [&](const ShutdownStarted&) { return Translated(event); },
-                               [&](const HealthCheckEnded&) { return Translated(event); },
-                               [&](const GossipReceived&) { return Translated(event); },
-                               [&](const TimerFired&) { return Translated(); },  // it has timers of its own
-                               [&](const RequestReceived& one) {
-                                 open(one.request, false, false);
-                                 return Translated(event);
-                               },
-                               [&](const ConnectionAdopted& one) {
-                                 open(one.request, true, one.is_pending);
-                                 return Translated(event);
-                               },
-                               [&](const AttemptEstablished& one) { return translate_established(one); },
-                               [&](const AttemptEnded& one) { return translate_ended(one); },
-                               [&](const LatencyReported& one) { return translate_latency(one); },
-                               [&](const LoadReported& one) { return if_known(one.request_id); },
-                               [&](const RequestStalled& one) { return if_known(one.request_id); },
-                               [&](const ClientDisconnected& one) {
-                                 if (Followed* followed = find(one.request_id)) {
-                                   followed->answered = true;
-                                 }
-                                 return if_known(one.request_id);
-                               }},
-                    event);
+  return std::visit(
+      Overloaded{[&](const EndpointsCached&) { return Translated(event); },
+                 [&](const EndpointsSnapshot&) { return Translated(event); },
+                 [&](const EndpointsUpdate&) { return Translated(event); },
+                 [&](const EndpointWatchFailed&) { return Translated(event); },
+                 [&](const ShutdownStarted&) { return Translated(event); },
+                 [&](const HealthCheckEnded&) { return Translated(event); },
+                 [&](const GossipReceived&) { return Translated(event); },
+                 [&](const TimerFired&) { return Translated(); },
+                 [&](const RequestReceived& typed_event) {
+                   open(typed_event.request, false, false);
+                   return Translated(event);
+                 },
+                 [&](const ConnectionAdopted& typed_event) {
+                   open(typed_event.request, true, typed_event.is_pending);
+                   return Translated(event);
+                 },
+                 [&](const AttemptEstablished& typed_event) { return translate_established(typed_event); },
+                 [&](const AttemptEnded& typed_event) { return translate_ended(typed_event); },
+                 [&](const LatencyReported& typed_event) { return translate_latency(typed_event); },
+                 [&](const LoadReported& typed_event) { return if_known(typed_event.request_id); },
+                 [&](const RequestStalled& typed_event) { return if_known(typed_event.request_id); },
+                 [&](const ClientDisconnected& typed_event) {
+                   if (TrackedRequest* tracked = find(typed_event.request_id)) {
+                     tracked->is_answered = true;
+                   }
+                   return if_known(typed_event.request_id);
+                 }},
+      event);
 }
 
 std::optional<PolicyEvent> Shadow::translate_established(const AttemptEstablished& event) {
-  Followed* followed = find(event.request_id);
-  if (!followed) {
+  TrackedRequest* tracked = find(event.request_id);
+  if (!tracked) {
     return std::nullopt;
   }
-  if (followed->is_known) {
+  if (tracked->is_known) {
     return event;
   }
-  // It is held again, as a connection that was there.
-  followed->is_known = true;
+  // The second load balancer gets the request back, as an adopted connection.
+  tracked->is_known = true;
   return ConnectionAdopted{
-      .request = followed->request, .endpoint = event.endpoint, .is_pending = followed->is_pending};
+      .request = tracked->request, .endpoint = event.endpoint, .is_pending = tracked->is_pending};
 }
 
 std::optional<PolicyEvent> Shadow::translate_ended(const AttemptEnded& event) {
-  Followed* followed = find(event.request_id);
-  if (!followed) {
+  TrackedRequest* tracked = find(event.request_id);
+  if (!tracked) {
     return std::nullopt;
   }
-  followed->attempt_in_progress = false;
-  followed->answered = followed->answered || event.is_final;
-  return followed->is_known ? std::optional<PolicyEvent>(event) : std::nullopt;
+  tracked->has_attempt_in_progress = false;
+  tracked->is_answered = tracked->is_answered || event.is_final;
+  return tracked->is_known ? std::optional<PolicyEvent>(event) : std::nullopt;
 }
 
 std::optional<PolicyEvent> Shadow::translate_latency(const LatencyReported& event) {
@@ -192,66 +194,68 @@
   if (!find(event.request_id)) {
     return std::nullopt;
   }
-  LatencyReported anonymous = event;  // the latency is the endpoint's, whatever connection showed it
+  LatencyReported anonymous = event;  // the latency of the endpoint does not depend on the connection
   anonymous.request_id.clear();
   return anonymous;
 }
 
-// ---- what the second load balancer would do ----
+// ---- actions of the second load balancer ----
 
-// Nothing of it is carried out; its timers are the only thing that comes back to it.
-void Shadow::record(TimePoint now, const PolicyAction& would) {
-  std::visit(Overloaded{[&](const StartAttempt& one) {
-                          record_decision(one.request_id, {.endpoint = one.endpoint});
+// Records an action without executing it. Only timers take effect: their expiry is passed to the second load
+// balancer.
+void Shadow::record(TimePoint now, const PolicyAction& shadow_action) {
+  std::visit(Overloaded{[&](const StartAttempt& action) {
+                          record_decision(action.request_id, {.endpoint = action.endpoint});
                         },
-                        [&](const RejectRequest& one) { record_decision(one.request_id, {}); },
-                        [&](const FailRequest& one) { record_decision(one.request_id, {}); },
-                        [&](const MigrateConnection& one) { record_migration(one.request_id); },
+                        [&](const RejectRequest& action) { record_decision(action.request_id, {}); },
+                        [&](const FailRequest& action) { record_decision(action.request_id, {}); },
+                        [&](const MigrateConnection& action) { record_migration(action.request_id); },
                         [&](const CheckHealth&) { ++counts_.health_checks; },
-                        [&](const SetTimer& one) {
-                          const TimePoint expires = now + one.delay;
+                        [&](const SetTimer& action) {
+                          const TimePoint expires = now + action.delay;
                           timer_ = std::min(timer_.value_or(expires), expires);
                         },
                         [](const CancelAttempt&) {}, [](const WatchEndpoints&) {},
                         [](const FetchEndpoints&) {}, [](const LogMessage&) {}},
-             would);
+             shadow_action);
 }
 
-void Shadow::record_decision(const std::string& request_id, Decision would) {
-  if (Followed* followed = find(request_id)) {
-    followed->pending_decision = std::move(would);
+void Shadow::record_decision(const std::string& request_id, Decision shadow_decision) {
+  if (TrackedRequest* tracked = find(request_id)) {
+    tracked->pending_decision = std::move(shadow_decision);
   }
 }
 
 void Shadow::record_migration(const std::string& request_id) {
-  Followed* followed = find(request_id);
-  if (followed && !std::exchange(followed->would_migrate, true)) {
+  TrackedRequest* tracked = find(request_id);
+  if (tracked && !std::exchange(tracked->would_migrate, true)) {
     ++counts_.would_migrate;
   }
 }
 
-// ---- the comparison ----
+// ---- comparison ----
 
-void Shadow::compare(const PolicyAction& real, std::vector<PolicyEvent>& corrections) {
-  std::visit(Overloaded{[&](const StartAttempt& one) {
-                          compare_decision(one.request_id, {.endpoint = one.endpoint}, corrections);
-                        },
-                        [&](const RejectRequest& one) { compare_decision(one.request_id, {}, corrections); },
-                        [&](const FailRequest& one) { compare_decision(one.request_id, {}, corrections); },
-                        [&](const MigrateConnection& one) { compare_migration(one.request_id); },
-                        [&](const CheckHealth&) { ++counts_.real_health_checks; },
-                        [](const CancelAttempt&) {}, [](const SetTimer&) {}, [](const WatchEndpoints&) {},
-                        [](const FetchEndpoints&) {}, [](const LogMessage&) {}},
-             real);
+void Shadow::compare(const PolicyAction& real_action, std::vector<PolicyEvent>& corrections) {
+  std::visit(
+      Overloaded{[&](const StartAttempt& action) {
+                   compare_decision(action.request_id, {.endpoint = action.endpoint}, corrections);
+                 },
+                 [&](const RejectRequest& action) { compare_decision(action.request_id, {}, corrections); },
+                 [&](const FailRequest& action) { compare_decision(action.request_id, {}, corrections); },
+                 [&](const MigrateConnection& action) { compare_migration(action.request_id); },
+                 [&](const CheckHealth&) { ++counts_.real_health_checks; }, [](const CancelAttempt&) {},
+                 [](const SetTimer&) {}, [](const WatchEndpoints&) {}, [](const FetchEndpoints&) {},
+                 [](const LogMessage&) {}},
+      real_action);
 }
 
 void Shadow::compare_migration(const std::string& request_id) {
-  Followed* followed = find(request_id);
-  if (!followed) {
+  TrackedRequest* tracked = find(request_id);
+  if (!tracked) {
     return;
   }
-  followed->answered = true;  // the end of its attempt comes as an event
-  if (followed->would_migrate) {
+  tracked->is_answered = true;  // the end of its attempt is reported by an event
+  if (tracked->would_migrate) {
     --counts_.would_migrate;
     ++counts_.same;
   } else {
@@ -259,47 +263,48 @@
   }
 }
 
-void Shadow::compare_decision(const std::string& request_id, const Decision& real,
+void Shadow::compare_decision(const std::string& request_id, const Decision& real_decision,
                               std::vector<PolicyEvent>& corrections) {
-  Followed* followed = find(request_id);
-  if (!followed) {
+  TrackedRequest* tracked = find(request_id);
+  if (!tracked) {
     return;
   }
-  if (real.endpoint) {
-    followed->attempt_in_progress = true;
-    ++followed->attempts;
+  if (real_decision.endpoint) {
+    tracked->has_attempt_in_progress = true;
+    ++tracked->attempts;
   } else {
-    followed->answered = true;
+    tracked->is_answered = true;
   }
-  if (!followed->is_known) {
-    return;  // after a difference its attempts are not compared
+  if (!tracked->is_known) {
+    return;  // after a different decision its attempts are not compared
   }
-  const std::optional<Decision> would = std::exchange(followed->pending_decision, std::nullopt);
-  if (would == real) {
+  const std::optional<Decision> shadow_decision = std::exchange(tracked->pending_decision, std::nullopt);
+  if (shadow_decision == real_decision) {
     ++counts_.same;
     return;
   }
-  count_difference(would, real);
-  // The second load balancer is told that the client left and that its own attempt was cancelled.
-  followed->is_known = false;
+  count_difference(shadow_decision, real_decision);
+  // To the second load balancer it looks as if the client had left and its attempt had been cancelled.
+  tracked->is_known = false;
   corrections.push_back(ClientDisconnected{.request_id = request_id});
-  if (!would || !would->endpoint) {
+  if (!shadow_decision || !shadow_decision->endpoint) {
     return;
   }
-  corrections.push_back(AttemptEnded{.request_id = request_id,
-                                     .endpoint = *would->endpoint,
-                                     .attempt = real.endpoint ? followed->attempts - 1 : followed->attempts,
-                                     .outcome = Outcome::cancelled,
-                                     .duration = 0,
-                                     .is_final = true});
+  corrections.push_back(
+      AttemptEnded{.request_id = request_id,
+                   .endpoint = *shadow_decision->endpoint,
+                   .attempt = real_decision.endpoint ? tracked->attempts - 1 : tracked->attempts,
+                   .outcome = Outcome::cancelled,
+                   .duration = 0,
+                   .is_final = true});
 }
 
-void Shadow::count_difference(const std::optional<Decision>& would, const Decision& real) {
-  if (!would) {
+void Shadow::count_difference(const std::optional<Decision>& shadow_decision, const Decision& real_decision) {
+  if (!shadow_decision) {
     ++counts_.would_wait;
-  } else if (!would->endpoint) {
+  } else if (!shadow_decision->endpoint) {
     ++counts_.would_reject;
-  } else if (real.endpoint) {
+  } else if (real_decision.endpoint) {
     ++counts_.other_endpoint;
   } else {
     ++counts_.would_attempt;
--- a/src/node/shadow.h
+++ b/src/node/shadow.h
@@ -1,8 +1,8 @@
-// Compares the node's decisions with those that other settings would lead to. Owns a second load balancer,
-// which is told of all that happens and whose actions are never carried out, its decision on each request,
-// and counts by kind. Never changes what the node does; where the two differ the second load balancer is
-// brought back to what really happened. It cannot see the further attempts of a request after a difference.
-// Pure: the caller gives the time. Design: docs/design.md.
+// Compares the node's decisions with those that other settings would cause. The shadow owns a second load
+// balancer that receives the same events but whose actions are never executed, its decision on each request,
+// and the counts of equal and different decisions. It never affects the node. After a different decision the
+// second load balancer is corrected to what really happened, and the request's further attempts are not
+// compared. Pure: the caller passes the time. Design: docs/design.md.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -15,62 +15,66 @@
 
 namespace dapplewharf {
 
-/// How the shadowed settings would have decided: one count for each request and kind, one each health check.
+/// How the second load balancer would have decided: counts of decisions on requests, of migrations and of
+/// health checks.
 struct ShadowCounts {
-  std::uint64_t same = 0;                ///< the same endpoint, or no endpoint in both cases
-  std::uint64_t other_endpoint = 0;      ///< an attempt, at another endpoint
-  std::uint64_t would_reject = 0;        ///< rejected or failed, where there was an attempt
-  std::uint64_t would_attempt = 0;       ///< an attempt, where the request was rejected or failed
-  std::uint64_t would_wait = 0;          ///< nothing yet, where there was a decision
-  std::uint64_t would_migrate = 0;       ///< a migration, where the connection stayed
-  std::uint64_t would_stay = 0;          ///< no migration, where the connection was migrated
-  std::uint64_t health_checks = 0;       ///< health checks that it would have sent
+  std::uint64_t same = 0;                ///< the same endpoint, or no attempt in both cases
+  std::uint64_t other_endpoint = 0;      ///< an attempt at another endpoint
+  std::uint64_t would_reject = 0;        ///< rejected or failed, but there was an attempt
+  std::uint64_t would_attempt = 0;       ///< an attempt, but the request was rejected or failed
+  std::uint64_t would_wait = 0;          ///< no decision yet, but there was one
+  std::uint64_t would_migrate = 0;       ///< a migration, but the connection was not migrated
+  std::uint64_t would_stay = 0;          ///< no migration, but the connection was migrated
+  std::uint64_t health_checks = 0;       ///< health checks that the second load balancer would have sent
   std::uint64_t real_health_checks = 0;  ///< health checks that were sent
 
-  /// One line, for the log.
+  /// Formats the counts as one line for the log.
   [[nodiscard]] std::string format() const;
 };
 
+/// The second load balancer and the comparison.
 class Shadow {
  public:
-  /// Throws SettingsError when a setting is missing. @param now in ticks of 0.1 ms.
+  /// Throws SettingsError if a setting is missing.
+  /// @param now in ticks of 0.1 ms.
   Shadow(Settings settings, std::uint64_t seed, TimePoint now);
 
-  /// Other settings from now on.
+  /// Applies other settings to the second load balancer.
   void update_settings(Settings settings);
-  /// Takes a batch of events that the real load balancer has been given, and its answer. Never throws: a
-  /// second load balancer that does is dropped, and `error()` says why.
-  void follow(TimePoint now, const std::vector<PolicyEvent>& events, const std::vector<PolicyAction>& real);
-  /// Whether the second load balancer has been dropped.
+  /// Processes a batch of events and the actions with which the real load balancer has answered it. Never
+  /// throws: if the second load balancer throws, it is destroyed, and `error()` returns the message.
+  void observe(TimePoint now, const std::vector<PolicyEvent>& events,
+               const std::vector<PolicyAction>& real_actions);
+  /// Whether the second load balancer has been destroyed after an exception.
   [[nodiscard]] bool stopped() const { return !load_balancer_; }
   [[nodiscard]] const std::string& error() const { return error_; }
   [[nodiscard]] const ShadowCounts& counts() const { return counts_; }
-  /// Requests and connections that are being compared.
-  [[nodiscard]] std::size_t followed() const { return followed_.size(); }
+  /// The number of requests and connections that are tracked.
+  [[nodiscard]] std::size_t tracked_count() const { return tracked_requests_.size(); }
 
  private:
-  /// What was decided on a request.
+  /// A decision on a request.
   struct Decision {
-    std::optional<std::string> endpoint;  // nothing: rejected or failed
+    std::optional<std::string> endpoint;  // nothing if the request is rejected or failed
     bool operator==(const Decision&) const = default;
   };
-  struct Followed {
+  struct TrackedRequest {
     RequestAttributes request;
-    bool is_pending = false;           // as it was adopted
-    bool is_known = true;              // the second load balancer holds it, as it really is
-    bool attempt_in_progress = false;  // really, or the connection that it became
-    bool answered = false;             // really
+    bool is_pending = false;               // adopted and not established again yet
+    bool is_known = true;                  // the second load balancer has it in its real state
+    bool has_attempt_in_progress = false;  // a real attempt or an open connection
+    bool is_answered = false;              // by the real node, or the client has disconnected
     bool would_migrate = false;
     int attempts = 0;  // real ones
-    std::optional<Decision>
-        pending_decision;  // taken by the second load balancer and not yet by the real one
+    /// The second load balancer's decision to which there is no real one yet.
+    std::optional<Decision> pending_decision;
   };
-  void feed(TimePoint now, const std::vector<PolicyEvent>& events);
-  void follow_batch(TimePoint now, const std::vector<PolicyEvent>& events,
-                    const std::vector<PolicyAction>& real);
-  Followed* find(const std::string& request_id);
+  void send_to_shadow(TimePoint now, const std::vector<PolicyEvent>& events);
+  void observe_batch(TimePoint now, const std::vector<PolicyEvent>& events,
+                     const std::vector<PolicyAction>& real_actions);
+  TrackedRequest* find(const std::string& request_id);
   void open(const RequestAttributes& request, bool adopted, bool is_pending);
-  void forget_if_over(const std::string& request_id);
+  void erase_if_ended(const std::string& request_id);
 
   std::optional<PolicyEvent> translate(const PolicyEvent& event);
   std::optional<PolicyEvent> translate_established(const AttemptEstablished& event);
@@ -78,20 +82,21 @@
   std::optional<PolicyEvent> translate_latency(const LatencyReported& event);
   [[nodiscard]] bool knows(const std::string& request_id);
 
-  void record(TimePoint now, const PolicyAction& would);
-  void record_decision(const std::string& request_id, Decision would);
+  void record(TimePoint now, const PolicyAction& shadow_action);
+  void record_decision(const std::string& request_id, Decision shadow_decision);
   void record_migration(const std::string& request_id);
-  void compare(const PolicyAction& real, std::vector<PolicyEvent>& corrections);
+  void compare(const PolicyAction& real_action, std::vector<PolicyEvent>& corrections);
   void compare_migration(const std::string& request_id);
-  void compare_decision(const std::string& request_id, const Decision& real,
+  void compare_decision(const std::string& request_id, const Decision& real_decision,
                         std::vector<PolicyEvent>& corrections);
-  void count_difference(const std::optional<Decision>& would, const Decision& real);
+  void count_difference(const std::optional<Decision>& shadow_decision, const Decision& real_decision);
 
   std::unique_ptr<LoadBalancer> load_balancer_;
   std::string error_;
   ShadowCounts counts_;
-  std::unordered_map<std::string, Followed> followed_;  // as long as the node holds them
-  std::optional<TimePoint> timer_;                      // when the second load balancer's next timer expires
+  /// By request id, for as long as the node has the request.
+  std::unordered_map<std::string, TrackedRequest> tracked_requests_;
+  std::optional<TimePoint> timer_;  // when the second load balancer's earliest timer expires
 };
 
 }  // namespace dapplewharf
--- a/src/node/shutdown.cpp
+++ b/src/node/shutdown.cpp
@@ -10,7 +10,7 @@
     return false;
   }
   began_at_ = now;
-  ends_by_ = now + std::min(longest_deadline.value_or(kLongestWait), kLongestWait) + kKillMargin;
+  ends_by_ = now + std::min(longest_deadline.value_or(kMaxRequestWait), kMaxRequestWait) + kKillMargin;
   return true;
 }
 
@@ -21,7 +21,7 @@
   if (now >= ends_by_) {
     return ShutdownPhase::overdue;
   }
-  if (now - *began_at_ < kLateClients) {
+  if (now - *began_at_ < kLateClientPeriod) {
     return ShutdownPhase::accepting_late_clients;
   }
   return now < requests_close_at() ? ShutdownPhase::finishing : ShutdownPhase::closing;
--- a/src/node/shutdown.h
+++ b/src/node/shutdown.h
@@ -1,5 +1,5 @@
-// The phases of the node's end after SIGTERM. Owns the times of the shutdown in progress, if any; sends
-// nothing and ends nothing itself. Pure: the caller gives the time. Design: docs/design.md.
+// The phases of the node's shutdown after SIGTERM. Owns the times of the shutdown in progress; the node
+// carries out what each phase requires. Pure: the caller passes the time. Design: docs/design.md.
 #pragma once
 #include <optional>
 
@@ -8,39 +8,40 @@
 namespace dapplewharf {
 
 // clang-format off
-// | phase                  | begins               | what is served           | ends the process          |
-// | ---------------------- | -------------------- | ------------------------ | ------------------------- |
-// | running                | at the start         | everything               | never                     |
-// | accepting_late_clients | with SIGTERM         | all, until `answers_due` | never                     |
-// | finishing              | `kLateClients` later | all, until `answers_due` | once nothing is in flight |
-// | closing                | `requests_close_at`  | what is left is migrated | once nothing is in flight |
-// |                        |                      | or failed                |                           |
-// | overdue                | `ends_by`            | nothing                  | at once                   |
+// | phase                  | begins                    | requests                | process exits        |
+// | ---------------------- | ------------------------- | ----------------------- | -------------------- |
+// | running                | at the start              | served                  | never                |
+// | accepting_late_clients | with SIGTERM              | served to `answers_due` | never                |
+// | finishing              | `kLateClientPeriod` later | served to `answers_due` | when nothing is left |
+// | closing                | `requests_close_at`       | migrated or failed      | when nothing is left |
+// | overdue                | `ends_by`                 | dropped                 | immediately          |
 // clang-format on
 enum class ShutdownPhase { running, accepting_late_clients, finishing, closing, overdue };
 
-/// Times are in ticks of 0.1 ms on the event loop's clock.
+/// The times of a shutdown, in ticks of 0.1 ms on the event loop's clock.
 class Shutdown {
  public:
-  /// Starts the shutdown. The supervisor kills the process 0.7 s after the longest request deadline, or after
-  /// `kLongestWait` and 0.7 s: what is in flight then is lost.
-  /// @param longest_deadline of all traffic types; nothing when the settings name none.
-  /// @return false when a shutdown is in progress already; it goes on unchanged.
+  /// Starts the shutdown. The supervisor kills the process 0.7 s after the longest request deadline, at the
+  /// latest 0.7 s after `kMaxRequestWait`; whatever is in flight then is lost.
+  /// @param longest_deadline the longest of all traffic types; nothing if the settings name none.
+  /// @return false if a shutdown is already in progress, which continues unchanged.
   bool begin(TimePoint now, std::optional<Duration> longest_deadline);
 
   [[nodiscard]] bool in_progress() const { return began_at_.has_value(); }
+  /// The phase at `now`.
   [[nodiscard]] ShutdownPhase phase(TimePoint now) const;
-  /// By when every request in flight should be answered.
+  /// When every request in flight should have been answered.
   [[nodiscard]] TimePoint answers_due() const { return ends_by_ - kAnswerMargin; }
-  /// When what is still in flight is migrated or failed.
+  /// When connections and requests still in flight are migrated or failed.
   [[nodiscard]] TimePoint requests_close_at() const { return ends_by_ - kAnswerMargin / 2; }
-  /// When the process ends at the latest.
+  /// When the process exits at the latest.
   [[nodiscard]] TimePoint ends_by() const { return ends_by_; }
 
-  static constexpr Duration kLateClients = kSecond;  // clients go on connecting that long after SIGTERM
-  static constexpr Duration kLongestWait = 3 * kSecond;
-  static constexpr Duration kKillMargin = 600 * kMs;
-  static constexpr Duration kAnswerMargin = 100 * kMs;
+  /// For how long after SIGTERM clients may keep connecting.
+  static constexpr Duration kLateClientPeriod = kSecond;
+  static constexpr Duration kMaxRequestWait = 3 * kSecond;
+  static constexpr Duration kKillMargin = 600 * kMs;  // after the longest wait; the kill follows 100 ms later
+  static constexpr Duration kAnswerMargin = 100 * kMs;  // between the last answers and the exit
 
  private:
   std::optional<TimePoint> began_at_;
--- a/src/node/upstream_attempt.cpp
+++ b/src/node/upstream_attempt.cpp
@@ -1,4 +1,4 @@
-// The steps of an attempt, in their order: begin, connect, send the request, await the answer, end.
+// The steps of an attempt in order: begin, connect, send the request, await the answer, end.
 // Design: docs/design.md.
 #include "node/upstream_attempt.h"
 
@@ -9,7 +9,7 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kConnectRetryDelay = 10 * kMs;  // after connecting failed on this machine
+constexpr Duration kConnectRetryDelay = 10 * kMs;  // after a failure on this machine
 constexpr std::size_t kLoggedAnswerBytes = 80;
 
 }  // namespace
@@ -20,15 +20,16 @@
 
 void UpstreamAttempts::begin(Handle handle, const AttemptParameters& parameters) {
   ProxiedConnection* connection = owner_.find(handle);
-  if (!connection || connection->phase != ProxiedConnection::Phase::waiting || connection->attempt.active) {
+  if (!connection || connection->phase != ProxiedConnection::Phase::awaiting_answer ||
+      connection->attempt.is_active) {
     return;
   }
   ++counters_.attempts;
   connection->attempt = {};
-  connection->attempt.active = true;
+  connection->attempt.is_active = true;
   connection->attempt.deadline = loop_.now() + parameters.timeout;
-  // The client may have left in this very turn; a host would then work for nobody.
-  connection = read_client_first(handle);
+  // The client may have disconnected in this turn; the host's work would then be wasted.
+  connection = read_pending_client_input(handle);
   if (!connection) {
     return;
   }
@@ -42,11 +43,11 @@
 
 ProxiedConnection* UpstreamAttempts::find_active(Handle handle) {
   ProxiedConnection* connection = owner_.find(handle);
-  return connection && connection->attempt.active ? connection : nullptr;
+  return connection && connection->attempt.is_active ? connection : nullptr;
 }
 
-// Reads what the client has sent by now, or its end. Returns null when that ended the attempt.
-ProxiedConnection* UpstreamAttempts::read_client_first(Handle handle) {
+// Reads what the client has sent, or that it has closed. Returns null if that has ended the attempt.
+ProxiedConnection* UpstreamAttempts::read_pending_client_input(Handle handle) {
   if (owner_.find(handle)->client.socket.has_input()) {
     owner_.read_client(handle);
   }
@@ -72,13 +73,13 @@
     case ConnectStart::in_progress:
       break;
   }
-  connection->host.watched = loop_.watch(connection->host.socket.descriptor(), POLLOUT,
-                                         [this, handle](short) { owner_.on_host_ready(handle); });
+  connection->host.watch_handle = loop_.watch(connection->host.socket.descriptor(), POLLOUT,
+                                              [this, handle](short) { owner_.on_host_ready(handle); });
   set_timeout(handle, *connection, target.deadline);
 }
 
-// A failure on this machine is retried until the time to connect is over. Reported at once, it would count
-// against the host or use up all attempts of the request.
+// A connect that fails on this machine is retried until the connect timeout. Reported immediately, it would
+// count against the endpoint's health or use up the request's attempts.
 void UpstreamAttempts::retry_connect(Handle handle, ProxiedConnection& connection,
                                      const ConnectTarget& target) {
   ++counters_.local_connect_failures;
@@ -94,17 +95,17 @@
 
 void UpstreamAttempts::set_timeout(Handle handle, ProxiedConnection& connection, TimePoint when) {
   loop_.schedule(connection.deadline, when, [this, handle] {
-    if (ProxiedConnection* late = owner_.find(handle)) {
-      end(handle, *late, TerminationReason::timed_out);
+    if (ProxiedConnection* overdue = owner_.find(handle)) {
+      end(handle, *overdue, TerminationReason::timed_out);
     }
   });
 }
 
-// A connection may be established long after its host was chosen. Meanwhile the client may have left, the
-// host may have begun to drain, or the time may be over, also during a pause of the process. Nothing has been
-// sent yet, so the host cannot have run the request.
+// A connection may be established long after its host was chosen. Meanwhile the client may have disconnected,
+// the host's endpoint may have started draining, or the deadline may have passed, for example while this
+// process was paused. Nothing has been sent yet, so the host cannot have run the request.
 bool UpstreamAttempts::may_still_send(Handle handle) {
-  ProxiedConnection* connection = read_client_first(handle);
+  ProxiedConnection* connection = read_pending_client_input(handle);
   if (!connection) {
     return false;
   }
@@ -129,7 +130,7 @@
   await_answer(handle, connection);
 }
 
-// Returns false when the attempt has ended.
+// Returns false if the attempt has ended.
 bool UpstreamAttempts::begin_sending(Handle handle, ProxiedConnection& connection) {
   if (!connection.host.socket.is_connected()) {
     end(handle, connection, TerminationReason::connection_broken);
@@ -144,7 +145,7 @@
   return true;
 }
 
-// Returns false when the attempt has ended.
+// Returns false if the attempt has ended.
 bool UpstreamAttempts::send_request(Handle handle, ProxiedConnection& connection) {
   Peer& host = connection.host;
   const auto sent = host.socket.send(host.pending.data(), host.pending.size());
@@ -157,7 +158,7 @@
     connection.attempt.progress = AttemptProgress::written;
     ++counters_.attempts_written;
   }
-  loop_.update_interest(host.watched, host.pending.empty() ? POLLIN : POLLIN | POLLOUT);
+  loop_.update_interest(host.watch_handle, host.pending.empty() ? POLLIN : POLLIN | POLLOUT);
   return true;
 }
 
@@ -170,7 +171,7 @@
   }
   const std::size_t line_end = answer.find('\n');
   if (line_end != std::string::npos) {
-    return take_answer(handle, connection, line_end + 1, host_closed);
+    return handle_answer_line(handle, connection, line_end + 1, host_closed);
   }
   if (host_closed) {
     end(handle, connection, TerminationReason::closed);
@@ -179,17 +180,17 @@
   }
 }
 
-void UpstreamAttempts::take_answer(Handle handle, ProxiedConnection& connection, std::size_t answer_bytes,
-                                   bool host_closed) {
+void UpstreamAttempts::handle_answer_line(Handle handle, ProxiedConnection& connection,
+                                          std::size_t answer_bytes, bool host_closed) {
   const std::string_view line = std::string_view(connection.attempt.answer).substr(0, answer_bytes);
-  const LineType word = line_type_of(line);
-  if (word == LineType::busy) {
+  const LineType answer = line_type_of(line);
+  if (answer == LineType::busy) {
     return end(handle, connection, TerminationReason::busy);
   }
-  if (word == LineType::error) {
+  if (answer == LineType::error) {
     return end(handle, connection, TerminationReason::error);
   }
-  if (word != LineType::up || connection.attempt.progress != AttemptProgress::written) {
+  if (answer != LineType::up || connection.attempt.progress != AttemptProgress::written) {
     if (log_limit_.allow()) {
       spdlog::warn("malformed_answer line=\"{}\"",
                    line.substr(0, std::min(answer_bytes - 1, kLoggedAnswerBytes)));
@@ -198,16 +199,16 @@
   }
   loop_.cancel(connection.deadline);
   connection.attempt.progress = AttemptProgress::established;
-  connection.host.read_closed = host_closed;
+  connection.host.is_read_closed = host_closed;
   ++counters_.attempts_established;
   owner_.on_attempt_established(handle, connection, answer_bytes);
 }
 
 void UpstreamAttempts::end(Handle handle, ProxiedConnection& connection, TerminationReason reason) {
-  if (!connection.attempt.active) {
+  if (!connection.attempt.is_active) {
     return;
   }
-  connection.attempt.active = false;
+  connection.attempt.is_active = false;
   loop_.cancel(connection.deadline);
   close_host(connection);
   owner_.on_attempt_ended(handle, {connection.attempt.progress, reason});
@@ -215,8 +216,8 @@
 
 void UpstreamAttempts::shorten(Handle handle, ProxiedConnection& connection, TimePoint deadline) {
   AttemptState& attempt = connection.attempt;
-  const bool waiting = connection.phase == ProxiedConnection::Phase::waiting;
-  if (!attempt.active || !waiting || attempt.deadline <= deadline) {
+  const bool is_awaiting_answer = connection.phase == ProxiedConnection::Phase::awaiting_answer;
+  if (!attempt.is_active || !is_awaiting_answer || attempt.deadline <= deadline) {
     return;
   }
   attempt.deadline = deadline;
@@ -224,7 +225,7 @@
 }
 
 void UpstreamAttempts::close_host(ProxiedConnection& connection) {
-  loop_.unwatch(connection.host.watched);
+  loop_.unwatch(connection.host.watch_handle);
   connection.host = Peer();
 }
 
--- a/src/node/upstream_attempt.h
+++ b/src/node/upstream_attempt.h
@@ -1,6 +1,6 @@
-// Attempts of waiting clients on hosts: connects, sends the request line and awaits the answer. Owns nothing
-// beyond the attempt's section of a ProxiedConnection and its deadline; never chooses a host and never
-// decides whether another attempt follows. Design: docs/design.md.
+// Attempts to establish a client's request at a host: connects, sends the request line and waits for the
+// answer. Uses only the attempt's section of a ProxiedConnection and its deadline; the choice of the host and
+// of further attempts is left to the owner. Design: docs/design.md.
 #pragma once
 #include <netinet/in.h>
 
@@ -13,48 +13,51 @@
 
 namespace dapplewharf {
 
-/// What an attempt is given. Spans are in ticks of 0.1 ms.
+/// The parameters of an attempt. Durations are in ticks of 0.1 ms.
 struct AttemptParameters {
-  std::optional<sockaddr_in> address;       ///< nothing when the host's address is unknown: the attempt fails
+  std::optional<sockaddr_in> address;       ///< nothing if it is unknown: the attempt fails
   Duration timeout = 0;                     ///< for the whole attempt
-  std::optional<Duration> connect_timeout;  ///< the settings' connect time when absent
+  std::optional<Duration> connect_timeout;  ///< if absent, that of the settings
 };
 
-/// What attempts need from the owner of the connections.
+/// The interface through which attempts look up connections and notify their owner.
 class AttemptOwner {
  public:
   virtual ~AttemptOwner() = default;
-  /// @return the connection, or null when it has ended; valid until the connection ends.
+  /// @return the connection, or null if it has ended; valid until the connection ends.
   virtual ProxiedConnection* find(Handle handle) = 0;
-  /// Reads what the client has sent by now, or its end; this may end the attempt and the connection.
+  /// Reads what the client has sent, or that it has closed; this may end the attempt and the connection.
   virtual void read_client(Handle handle) = 0;
   /// The host's socket is ready to be read or written.
   virtual void on_host_ready(Handle handle) = 0;
-  /// Gives up a descriptor that is less needed than an attempt's, if there is one.
+  /// Closes a connection that is less important than an attempt, if there is one, to free its descriptor.
   virtual void free_descriptor() = 0;
-  /// Whether what permitted the attempt still holds, asked just before its first byte is sent.
+  /// Whether the attempt is still permitted; called just before its first byte is sent.
   virtual bool may_send(Handle handle) = 0;
-  /// The host has answered UP. The first `answer_bytes` of the attempt's answer are that line.
+  /// The host has answered UP.
+  /// @param answer_bytes the length of that line at the beginning of the attempt's answer.
   virtual void on_attempt_established(Handle handle, ProxiedConnection& connection,
                                       std::size_t answer_bytes) = 0;
-  /// The attempt or the connection that it became has ended; told once for each attempt.
+  /// The attempt, or the connection established by it, has ended; called once per attempt.
   virtual void on_attempt_ended(Handle handle, AttemptResult result) = 0;
 };
 
+/// Executes the attempts of all connections.
 class UpstreamAttempts {
  public:
   UpstreamAttempts(EventLoop& loop, Counters& counters, const Limits& limits, LogRateLimit& log_limit,
                    AttemptOwner& owner);
 
-  /// Begins an attempt of a waiting client that has none in progress; otherwise does nothing.
+  /// Begins an attempt for a client that awaits its answer and has no attempt in progress; otherwise does
+  /// nothing.
   void begin(Handle handle, const AttemptParameters& parameters);
   /// Ends the attempt in progress, if any, closes the host's connection and reports `reason`.
   void end(Handle handle, ProxiedConnection& connection, TerminationReason reason);
-  /// Goes on with an attempt whose host's socket is ready.
+  /// Continues an attempt whose host's socket is ready.
   void on_host_ready(Handle handle, ProxiedConnection& connection);
-  /// An attempt that is in progress lasts no longer than until `deadline`.
+  /// Brings the deadline of an attempt in progress forward to `deadline` at the latest.
   void shorten(Handle handle, ProxiedConnection& connection, TimePoint deadline);
-  /// Closes the connection to the host without a report.
+  /// Closes the connection to the host without notifying the owner.
   void close_host(ProxiedConnection& connection);
 
  private:
@@ -63,7 +66,7 @@
     TimePoint deadline = 0;
   };
   ProxiedConnection* find_active(Handle handle);
-  ProxiedConnection* read_client_first(Handle handle);
+  ProxiedConnection* read_pending_client_input(Handle handle);
   void connect(Handle handle, const ConnectTarget& target);
   void retry_connect(Handle handle, ProxiedConnection& connection, const ConnectTarget& target);
   void set_timeout(Handle handle, ProxiedConnection& connection, TimePoint when);
@@ -71,7 +74,8 @@
   bool begin_sending(Handle handle, ProxiedConnection& connection);
   bool send_request(Handle handle, ProxiedConnection& connection);
   void await_answer(Handle handle, ProxiedConnection& connection);
-  void take_answer(Handle handle, ProxiedConnection& connection, std::size_t answer_bytes, bool host_closed);
+  void handle_answer_line(Handle handle, ProxiedConnection& connection, std::size_t answer_bytes,
+                          bool host_closed);
 
   EventLoop& loop_;
   Counters& counters_;
--- a/tests/node/attempt_result_test.cpp
+++ b/tests/node/attempt_result_test.cpp
@@ -1,4 +1,4 @@
-// From the end of an attempt to its outcome.
+// The mapping from the result of an attempt to its outcome.
 #include "node/attempt_result.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 
 using namespace dapplewharf;
 
-TEST(AttemptResult, OnlyWhatWasRejectedOrNeverSentCannotHaveRun) {
+TEST(AttemptResult, OnlyRejectedOrUnsentAttemptsCannotHaveRun) {
   for (const Outcome outcome :
        {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent, Outcome::withdrawn}) {
     EXPECT_FALSE(may_have_run(outcome)) << name_of(outcome);
@@ -18,11 +18,11 @@
   }
 }
 
-TEST(AttemptResult, ShowsWhenAnAttemptNeverRan) {
-  for (const AttemptProgress reach : {AttemptProgress::not_connected, AttemptProgress::partly_written}) {
-    for (const TerminationReason cause :
+TEST(AttemptResult, MapsProgressAndReasonToOutcome) {
+  for (const AttemptProgress progress : {AttemptProgress::not_connected, AttemptProgress::partly_written}) {
+    for (const TerminationReason reason :
          {TerminationReason::connection_broken, TerminationReason::closed, TerminationReason::timed_out}) {
-      EXPECT_EQ(outcome_of({reach, cause}), Outcome::connect_failed);
+      EXPECT_EQ(outcome_of({progress, reason}), Outcome::connect_failed);
     }
   }
   EXPECT_EQ(outcome_of({AttemptProgress::written, TerminationReason::connection_broken}),
--- a/tests/node/byte_relay_test.cpp
+++ b/tests/node/byte_relay_test.cpp
@@ -1,4 +1,4 @@
-// Bytes of established connections, on loopback sockets.
+// Relaying the bytes of established connections, on loopback sockets.
 #include <gtest/gtest.h>
 
 #include "node/request_line.h"
@@ -6,7 +6,7 @@
 
 using namespace dapplewharf;
 
-TEST(ByteRelay, PassesBytesUnchangedBothWays) {
+TEST(ByteRelay, RelaysBytesUnchangedInBothDirections) {
   NodeHarness harness;
   const int client = harness.connect_client("PING\r\n" + request_line());
   const int host = harness.accept_endpoint_connection();
@@ -26,7 +26,7 @@
   EXPECT_TRUE(harness.is_closed_by_peer(client));
 }
 
-TEST(ByteRelay, PassesAResetOnAsOne) {
+TEST(ByteRelay, ResetOfTheHostResetsTheClient) {
   NodeHarness harness;
   const int client = harness.connect_client(request_line());
   const int host = harness.accept_endpoint_connection();
@@ -36,7 +36,7 @@
   EXPECT_TRUE(harness.was_reset(client));
 }
 
-TEST(ByteRelay, ASlowReaderHoldsUpItsOwnConnectionOnlyWithinABound) {
+TEST(ByteRelay, SlowReaderDelaysOnlyItsOwnConnectionAndBuffersAreBounded) {
   NodeHarness harness;
   const int slow = harness.connect_client(request_line());
   const int host = harness.accept_endpoint_connection();
@@ -44,35 +44,40 @@
   EXPECT_EQ(harness.read(slow), "UP x\r\n");
   std::string line(1000, 'x');
   line.replace(998, 2, "\r\n");
-  std::size_t taken = 0;
-  const auto gives = [&] {  // false when nothing more is taken: the kernel's buffers and the node's are full
-    const std::size_t at = taken % line.size();
-    const std::size_t got = harness.socket(host).send(line.data() + at, line.size() - at).value_or(0);
-    taken += got;
-    return got > 0;
+  std::size_t sent_bytes = 0;
+  // Returns false if nothing could be sent: the buffers of the kernel and of the node are full.
+  const auto send_some = [&] {
+    const std::size_t offset = sent_bytes % line.size();
+    const std::size_t sent =
+        harness.socket(host).send(line.data() + offset, line.size() - offset).value_or(0);
+    sent_bytes += sent;
+    return sent > 0;
   };
-  for (int i = 0; i < 20000 && (gives() || (harness.run_for(50), gives())); ++i) {
+  for (int i = 0; i < 20000 && (send_some() || (harness.run_for(50), send_some())); ++i) {
     harness.run_for(0);
   }
-  EXPECT_LT(taken, 19000u * 1000u);
+  EXPECT_LT(sent_bytes, 19000u * 1000u);
   const int other = harness.connect_client(request_line());
   harness.write(harness.accept_endpoint_connection(), "UP y\r\n");
   EXPECT_EQ(harness.read(other), "UP y\r\n");
-  std::string all;
-  bool ended = false;
+  std::string received;
+  bool has_ended = false;
   harness.run_until(
-      [&] { return harness.socket(slow).receive(all, 65536, ended), all.size() >= taken / 1000 * 1000; },
+      [&] {
+        return harness.socket(slow).receive(received, 65536, has_ended),
+               received.size() >= sent_bytes / 1000 * 1000;
+      },
       5000);
-  EXPECT_EQ(all.size(), taken / 1000 * 1000) << "whole lines, and all of them";
+  EXPECT_EQ(received.size(), sent_bytes / 1000 * 1000) << "all complete lines";
 }
 
-TEST(ByteRelay, ALineLongerThanTheProtocolsPassesAndMoveStandsAfterIt) {
+TEST(ByteRelay, LineLongerThanTheProtocolAllowsIsRelayedAndMoveFollowsIt) {
   NodeHarness harness;
   const int client = harness.connect_client(request_line());
   const int host = harness.accept_endpoint_connection();
   harness.write(host, "UP x\r\n" + std::string(9000, 'x'));
   EXPECT_EQ(harness.read(client, 9006).size(), 9006u);
-  harness.node->stop();
+  harness.node->begin_shutdown();
   harness.run_for(1200);
   harness.write(host, "end\r\nnext");
   EXPECT_EQ(harness.read(client, 11, 1500), "end\r\nMOVE\r\n");
--- a/tests/node/endpoint_directory_test.cpp
+++ b/tests/node/endpoint_directory_test.cpp
@@ -1,4 +1,4 @@
-// What lists make of endpoints, and whether something may still go there.
+// The effect of endpoint lists on whether endpoints may be used.
 #include "node/endpoint_directory.h"
 
 #include <gtest/gtest.h>
@@ -13,14 +13,14 @@
   entry.host = host;
   entry.zone = "near";
   entry.state = state;
-  list.listings.push_back(entry);
+  list.entries.push_back(entry);
   list.addresses[host] = "127.0.0.1:1";
   return list;
 }
 
 }  // namespace
 
-TEST(EndpointDirectory, NothingNewGoesToADrainingOrRemovedEndpoint) {
+TEST(EndpointDirectory, DrainingAndRemovedEndpointsMayNotBeUsed) {
   EndpointDirectory endpoints;
   EXPECT_TRUE(endpoints.permits("a", EndpointUse::new_request)) << "no list has named it";
   endpoints.apply(list_with("a", EndpointState::healthy), "near");
@@ -28,13 +28,13 @@
   for (const EndpointState state : {EndpointState::draining, EndpointState::removed}) {
     EXPECT_EQ(endpoints.apply(list_with("a", state), "near"), std::vector<std::string>{"a"});
     EXPECT_FALSE(endpoints.permits("a", EndpointUse::new_request));
-    EXPECT_FALSE(endpoints.permits("a", EndpointUse::reconnect_later));
+    EXPECT_FALSE(endpoints.permits("a", EndpointUse::reconnect));
     EXPECT_TRUE(endpoints.apply(list_with("a", EndpointState::healthy), "near").empty());
     EXPECT_TRUE(endpoints.permits("a", EndpointUse::new_request));
   }
 }
 
-TEST(EndpointDirectory, WhereOnlyDrainingBindsARemovedEndpointIsStillUsed) {
+TEST(EndpointDirectory, WithOnlyDrainingBindingARemovedEndpointMayBeUsed) {
   EndpointDirectory endpoints;
   endpoints.set_only_draining_binds(true);
   endpoints.apply(list_with("a", EndpointState::removed), "near");
@@ -42,16 +42,17 @@
   endpoints.apply(list_with("b", EndpointState::draining), "near");
   EXPECT_FALSE(endpoints.permits("b", EndpointUse::new_request));
   endpoints.apply(list_with("b", EndpointState::removed), "near");
-  EXPECT_FALSE(endpoints.permits("b", EndpointUse::new_request)) << "a drain stays in force";
-  EXPECT_TRUE(endpoints.permits("b", EndpointUse::reconnect_later));
+  EXPECT_FALSE(endpoints.permits("b", EndpointUse::new_request))
+      << "a draining endpoint stays draining when it is removed";
+  EXPECT_TRUE(endpoints.permits("b", EndpointUse::reconnect));
 }
 
-TEST(EndpointDirectory, ACompleteListRemovesWhatItDoesNotName) {
+TEST(EndpointDirectory, CompleteListRemovesEndpointsThatItDoesNotName) {
   EndpointDirectory endpoints;
   endpoints.apply(list_with("a", EndpointState::healthy), "near");
   EndpointSnapshot complete = list_with("b", EndpointState::healthy);
   EXPECT_TRUE(endpoints.apply(complete, "near").empty());
-  complete.whole = true;
+  complete.is_complete = true;
   EXPECT_EQ(endpoints.apply(complete, "near"), std::vector<std::string>{"a"});
   EXPECT_FALSE(endpoints.permits("a", EndpointUse::new_request));
   EXPECT_EQ(endpoints.address("b"), "127.0.0.1:1");
--- a/tests/node/endpoint_discovery_test.cpp
+++ b/tests/node/endpoint_discovery_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists, and calls to discovery that are long, fail or hang.
+// Endpoint lists, and calls to discovery that have long answers, fail or time out.
 #include "node/endpoint_discovery.h"
 
 #include <gtest/gtest.h>
@@ -11,43 +11,43 @@
 
 namespace {
 
-// A list of hosts as it may come at worst: indented, with long names.
-std::string long_list(int hosts, int version, const std::string& lifecycle, const std::string& at) {
-  nlohmann::json named = nlohmann::json::array();
-  for (int i = 0; i < hosts; ++i) {
-    named.push_back({{"instanceId", "h" + std::to_string(i) + std::string(200, 'x')},
-                     {"hostPort", at},
-                     {"zone", "near"},
-                     {"machineType", std::string(64, 'k')},
-                     {"cell", i},
-                     {"weight", 1.0},
-                     {"startedAtMs", 0},
-                     {"lifecycle", lifecycle}});
+// Returns a worst-case endpoint list: indented and with long names.
+std::string long_list(int count, int version, const std::string& lifecycle, const std::string& address) {
+  nlohmann::json instances = nlohmann::json::array();
+  for (int i = 0; i < count; ++i) {
+    instances.push_back({{"instanceId", "h" + std::to_string(i) + std::string(200, 'x')},
+                         {"hostPort", address},
+                         {"zone", "near"},
+                         {"machineType", std::string(64, 'k')},
+                         {"cell", i},
+                         {"weight", 1.0},
+                         {"startedAtMs", 0},
+                         {"lifecycle", lifecycle}});
   }
-  return nlohmann::json({{"generation", version}, {"reset", true}, {"instances", named}}).dump(8);
+  return nlohmann::json({{"generation", version}, {"reset", true}, {"instances", instances}}).dump(8);
 }
 
 }  // namespace
 
-TEST(Incarnations, AStepOfTheMachinesClockIsNoRestart) {
-  Incarnations starts;
-  const TimePoint first = starts.place("h", 1000, 50000, 20000);
+TEST(EndpointStartTimes, StepOfTheMachineClockDoesNotLookLikeARestart) {
+  EndpointStartTimes starts;
+  const TimePoint first = starts.to_loop_time("h", 1000, 50000, 20000);
   EXPECT_EQ(first, 40000);
-  EXPECT_EQ(starts.place("h", 1000, 60000, 90000), first);
-  EXPECT_GT(starts.place("h", 2000, 60000, 30000), first);
-  EXPECT_EQ(starts.place("h", 0, 60000, 30000), 0);
+  EXPECT_EQ(starts.to_loop_time("h", 1000, 60000, 90000), first);
+  EXPECT_GT(starts.to_loop_time("h", 2000, 60000, 30000), first);
+  EXPECT_EQ(starts.to_loop_time("h", 0, 60000, 30000), 0);
 }
 
-// A list that is refused leaves the node with its former endpoints for good.
-TEST(EndpointDiscovery, FollowsAThousandHostsIndentedWithLongNamesAndInPieces) {
+// If a long list were rejected, the node would keep its former endpoints permanently.
+TEST(EndpointDiscovery, AppliesALongListOfAThousandEndpointsThatArrivesInPieces) {
   for (const bool chunked : {false, true}) {
     NodeHarness harness(1024, true, [](Configuration& to) {
       to.memory_mb = 32;
-      to.known = nlohmann::json::parse(long_list(1024, 1, "up", to.discovery));
+      to.cached_endpoint_list = nlohmann::json::parse(long_list(1024, 1, "up", to.discovery));
     });
     const std::string body =
         long_list(1024, 2, "draining", NodeHarness::address_text(harness.endpoint_address));
-    EXPECT_GT(body.size(), 512u * 1024) << "more than was once read";
+    EXPECT_GT(body.size(), 512u * 1024) << "longer than 512 KiB";
     std::string answer = NodeHarness::http(body);
     if (chunked) {
       answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -62,9 +62,9 @@
     ASSERT_TRUE(
         harness.run_until([&] { return harness.discovery_request.find("\r\n\r\n") != std::string::npos; }));
     harness.discovery_request.clear();
-    const TimePoint by = harness.loop.now() + 20 * kSecond;
+    const TimePoint deadline = harness.loop.now() + 20 * kSecond;
     for (std::size_t i = 0; i < answer.size(); i += 1400) {
-      ASSERT_LT(harness.loop.now(), by) << "it was refused on the way";
+      ASSERT_LT(harness.loop.now(), deadline) << "the list was rejected while it was being sent";
       std::size_t sent = 0;
       const std::string piece = answer.substr(i, 1400);
       ASSERT_TRUE(harness.run_until([&] {
@@ -81,11 +81,11 @@
                                                " 6b c=plain,t=x,d=2000,g=6c\r\n"))
                   .substr(0, 4),
               "BUSY")
-        << "all 1,024 drain";
+        << "all 1024 endpoints are draining";
   }
 }
 
-TEST(EndpointDiscovery, IsCalledAgainAfterFailuresAndItsListIsFollowed) {
+TEST(EndpointDiscovery, IsCalledAgainAfterFailuresAndItsListIsApplied) {
   NodeHarness harness;
   harness.discovery_responses = {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
                                  NodeHarness::http("garbage"),
@@ -95,71 +95,73 @@
   EXPECT_EQ(harness.read(client).substr(0, 4), "BUSY");
 }
 
-TEST(EndpointDiscovery, IsAskedForTheCompleteListWithoutAKnownOne) {
+TEST(EndpointDiscovery, IsAskedForTheCompleteListIfNoListIsCached) {
   NodeHarness harness(1024, false);
   EXPECT_TRUE(harness.run_until(
       [&] { return harness.discovery_request.find("\r\n\r\n") != std::string::npos; }, 1000));
   EXPECT_EQ(harness.discovery_request.substr(0, 18), "GET /api/targets H")
-      << "changes since nothing may leave hosts out";
+      << "changes since an unknown version may omit endpoints";
   harness.discovery_responses = {NodeHarness::http(
       R"({"generation":9,"reset":true,"instances":[{"instanceId":"h0","hostPort":")" +
       NodeHarness::address_text(harness.endpoint_address) + R"(","zone":"near","lifecycle":"up"}]})")};
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
   EXPECT_TRUE(
       harness.run_until([&] { return harness.discovery_request.find("after=9") != std::string::npos; }, 1000))
-      << "then it watches";
+      << "then the node watches";
   const int client = harness.connect_client(request_line());
   const int host = harness.accept_endpoint_connection();
   harness.write(host, "UP x\r\n");
   EXPECT_EQ(harness.read(client), "UP x\r\n");
 }
 
-TEST(EndpointDiscovery, AKeptConnectionThatItClosedCostsNoLoss) {
+TEST(EndpointDiscovery, CallIsRepeatedIfDiscoveryClosedTheIdleConnection) {
   NodeHarness harness;
-  const std::string none = R"({"generation":2,"reset":false,"instances":[]})";
-  harness.discovery_responses = {NodeHarness::http(none)};
+  const std::string no_changes = R"({"generation":2,"reset":false,"instances":[]})";
+  harness.discovery_responses = {NodeHarness::http(no_changes)};
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
   harness.run_for(20);
-  harness.discovery_connection.close();  // the next call is out already, or is to be made anew
+  harness.discovery_connection.close();  // the next call has been sent already, or has to be repeated
   harness.discovery_request.clear();
   harness.discovery_responses = {NodeHarness::http(R"({"generation":3,"reset":true,"instances":[]})")};
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, 450))
-      << "a watch goes on within 200 ms";
+      << "a watch continues within 200 ms";
 }
 
-TEST(EndpointDiscovery, ACallThatHangsIsGivenUpBeforeTheNodeCountsAsNotified) {
+TEST(EndpointDiscovery, CallThatHangsTimesOutAndIsRepeated) {
   NodeHarness harness;
   harness.discovery_responses = {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf a body"};
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 1; }));
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 2; }, 9000))
-      << "two seconds after the wait of five, and a retry";
+      << "after the watch timeout and a retry delay";
 }
 
-// Operators' term: idle clients may fill the descriptors while discovery is down.
-TEST(EndpointDiscovery, HasTheLastDescriptorsThatNoHealthCheckTakes) {
+// Clients may use up the descriptors while discovery is unavailable; discovery must be reachable afterwards.
+TEST(EndpointDiscovery, MayUseDescriptorsThatHealthChecksLeaveFree) {
   EventLoop loop;
   Counters counters;
   const Limits limits{96, kSecond};
   Socket listener;
-  const std::string at = NodeHarness::address_text(NodeHarness::listen_on_loopback(listener));
+  const std::string address = NodeHarness::address_text(NodeHarness::listen_on_loopback(listener));
   std::vector<Socket> idle;
   while (!Socket::is_short_of_descriptors(limits.descriptors, kReservedFromHealthChecks)) {
     idle.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
   }
-  std::optional<TerminationReason> probed;
-  HealthChecker checker(loop, counters, limits, [&](const std::string&, const HealthCheckResult& ended) {
-    probed = ended.result.reason;
-  });
-  checker.check("h0", at);
-  EXPECT_EQ(probed, TerminationReason::no_descriptor);
-  bool lost = false;
-  EndpointDiscovery discovery(loop, counters, at, limits, 1,
-                              {.listed = [](const EndpointSnapshot&) {}, .lost = [&] { lost = true; }});
+  std::optional<TerminationReason> health_check_reason;
+  HealthChecker checker(loop, counters, limits,
+                        [&](const std::string&, const HealthCheckResult& health_check) {
+                          health_check_reason = health_check.result.reason;
+                        });
+  checker.check("h0", address);
+  EXPECT_EQ(health_check_reason, TerminationReason::no_descriptor);
+  bool is_watch_lost = false;
+  EndpointDiscovery discovery(
+      loop, counters, address, limits, 1,
+      {.on_list = [](const EndpointSnapshot&) {}, .on_watch_lost = [&] { is_watch_lost = true; }});
   discovery.fetch();
   for (int i = 0; i < 5; ++i) {
     loop.run_once(100);
   }
-  EXPECT_FALSE(lost);
+  EXPECT_FALSE(is_watch_lost);
   EXPECT_TRUE(Socket(accept4(listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK)))
-      << "its connection has come";
+      << "discovery has been connected to";
 }
--- a/tests/node/event_order_random_test.cpp
+++ b/tests/node/event_order_random_test.cpp
@@ -1,5 +1,6 @@
-// A thousand crossings at random with a fixed seed, on loopback sockets: clients leave, hosts answer, hang,
-// break and drain, all in one loop, and the rules are checked from outside: by what clients and hosts see.
+// A thousand requests with random events in one event loop, on loopback sockets and with a fixed seed:
+// clients leave; hosts answer, do not answer, close, reset and drain. The rules are checked by what clients
+// and hosts receive.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -11,194 +12,209 @@
 namespace {
 
 constexpr std::uint64_t kSeed = 20261202;
-constexpr int kNodes = 42, kRounds = 3, kTogether = 8, kHosts = 4, kMostTurns = 2000;
+constexpr int kNodes = 42, kRoundsPerNode = 3, kClientsPerRound = 8, kEndpoints = 4, kMaxTurnsPerRound = 2000;
 
 struct Client {
   Socket socket;
-  std::string id, line, in;
-  bool once = false, gone = false;
-  bool answered() const { return in.find('\n') != std::string::npos; }
+  std::string id, unsent, received;
+  bool is_at_most_once = false, has_left = false;
+  bool is_answered() const { return received.find('\n') != std::string::npos; }
 };
 
-struct Attempt {  // as its host sees it
+struct ReceivedAttempt {  // as seen by the host
   Socket socket;
-  int host = 0;
-  std::string in, id;
-  bool answered = false, turned_away = false, ended = false;  // ended: by the node
-  bool known = false;                                         // its line has been judged
+  int endpoint = 0;
+  std::string received, id;
+  bool is_answered = false, is_rejected = false;
+  bool is_ended_by_node = false;
+  bool is_checked = false;  // its request line has been checked against the rules
 };
 
-struct Many {
-  RandomGenerator& chance;
-  Socket listeners[kHosts];
-  sockaddr_in at[kHosts];
+// One node with several endpoints, and the clients and attempts of one round.
+struct RandomScenario {
+  RandomGenerator& random;
+  Socket listeners[kEndpoints];
+  sockaddr_in addresses[kEndpoints];
   std::optional<NodeHarness> harness;
   std::vector<Client> clients;
-  std::vector<Attempt> tries;
-  int turn = 0, version = 1, told = -1, last_id = 0, lines = 0, answers = 0;
-  int drains_since[kHosts] = {-1, -1, -1, -1};
-  bool drains = false;
+  std::vector<ReceivedAttempt> attempts;
+  int turn = 0, version = 1, last_id = 0, request_lines = 0, answers = 0;
+  int updated_endpoint = -1;       // the endpoint of the update that discovery is sending; -1: none
+  bool is_update_a_drain = false;  // otherwise the update ends a drain
+  int draining_since_turn[kEndpoints] = {-1, -1, -1, -1};  // -1: not draining
 
-  explicit Many(RandomGenerator& from) : chance(from) {
-    for (int i = 0; i < kHosts; ++i) {
-      at[i] = NodeHarness::listen_on_loopback(listeners[i]);
+  explicit RandomScenario(RandomGenerator& generator) : random(generator) {
+    for (int i = 0; i < kEndpoints; ++i) {
+      addresses[i] = NodeHarness::listen_on_loopback(listeners[i]);
     }
     harness.emplace(1024, true, [this](Configuration& to) {
-      for (int i = 0; i < kHosts; ++i) {
-        to.known["instances"][i]["hostPort"] = NodeHarness::address_text(at[i]);
+      for (int i = 0; i < kEndpoints; ++i) {
+        to.cached_endpoint_list["instances"][i]["hostPort"] = NodeHarness::address_text(addresses[i]);
       }
-      to.env["lanes"][0]["hardLimitMs"] = 400;
-      to.env["lanes"].push_back(to.env["lanes"][0]);
-      to.env["lanes"][1]["name"] = "once";
-      to.env["lanes"][1]["semantics"] = "at_most_once";
+      to.settings["lanes"][0]["hardLimitMs"] = 400;
+      to.settings["lanes"].push_back(to.settings["lanes"][0]);
+      to.settings["lanes"][1]["name"] = "once";
+      to.settings["lanes"][1]["semantics"] = "at_most_once";
     });
   }
-  bool one_in(int of) { return chance.next() % static_cast<unsigned>(of) == 0; }
-
-  void opens() {
-    Client& made = clients.emplace_back();
-    made.once = one_in(2);
-    made.id = "c" + std::to_string(++last_id);
-    made.line = "OPEN " + made.id + " 2e c=" + (made.once ? "once" : "plain") + ",t=x,d=400,g=3d\r\n";
-    EXPECT_EQ(start_connecting(harness->node_address, 1024, 0, made.socket), ConnectStart::in_progress);
+  // Returns true with probability 1 / `count`.
+  bool one_in(int count) { return random.next() % static_cast<unsigned>(count) == 0; }
+
+  void connect_client() {
+    Client& client = clients.emplace_back();
+    client.is_at_most_once = one_in(2);
+    client.id = "c" + std::to_string(++last_id);
+    client.unsent =
+        "OPEN " + client.id + " 2e c=" + (client.is_at_most_once ? "once" : "plain") + ",t=x,d=400,g=3d\r\n";
+    EXPECT_EQ(start_connecting(harness->node_address, 1024, 0, client.socket), ConnectStart::in_progress);
   }
 
-  void happens() {
-    for (Client& one : clients) {
-      if (!one.line.empty()) {
-        one.line.erase(0, one.socket.send(one.line.data(), one.line.size()).value_or(0));
+  // Sends the requests, and lets clients leave, hosts answer and endpoints drain at random.
+  void trigger_random_events() {
+    for (Client& client : clients) {
+      if (!client.unsent.empty()) {
+        client.unsent.erase(0, client.socket.send(client.unsent.data(), client.unsent.size()).value_or(0));
       }
-      if (one.gone || !one.line.empty() || !one_in(30)) {
+      if (client.has_left || !client.unsent.empty() || !one_in(30)) {
         continue;
       }
-      one.gone = true;
-      one_in(2) ? one.socket.close_with_reset() : one.socket.shut_down_sending();
+      client.has_left = true;
+      one_in(2) ? client.socket.close_with_reset() : client.socket.shut_down_sending();
     }
-    for (Attempt& one : tries) {
-      if (one.known && !one.answered && !one.ended && one_in(4)) {
-        answer(one);
+    for (ReceivedAttempt& attempt : attempts) {
+      if (attempt.is_checked && !attempt.is_answered && !attempt.is_ended_by_node && one_in(4)) {
+        answer(attempt);
       }
     }
-    if (told < 0 && harness->discovery_responses.empty() && one_in(10)) {
-      told = static_cast<int>(chance.next() % kHosts);
-      drains = drains_since[told] < 0;
-      if (drains && std::count(drains_since, drains_since + kHosts, -1) < 3) {
-        return void(told = -1);
+    if (updated_endpoint < 0 && harness->discovery_responses.empty() && one_in(10)) {
+      updated_endpoint = static_cast<int>(random.next() % kEndpoints);
+      is_update_a_drain = draining_since_turn[updated_endpoint] < 0;
+      if (is_update_a_drain && std::count(draining_since_turn, draining_since_turn + kEndpoints, -1) < 3) {
+        return void(updated_endpoint = -1);
       }
-      const nlohmann::json entry = {{"instanceId", "h" + std::to_string(told)},
-                                    {"hostPort", NodeHarness::address_text(at[told])},
+      const nlohmann::json entry = {{"instanceId", "h" + std::to_string(updated_endpoint)},
+                                    {"hostPort", NodeHarness::address_text(addresses[updated_endpoint])},
                                     {"zone", "near"},
-                                    {"lifecycle", drains ? "draining" : "up"}};
+                                    {"lifecycle", is_update_a_drain ? "draining" : "up"}};
       const nlohmann::json body = {{"generation", ++version}, {"reset", false}, {"instances", {entry}}};
       harness->discovery_responses = {NodeHarness::http(body.dump())};
     }
   }
 
-  void answer(Attempt& one) {
-    // What goes wrong is kept rare: a node that sees trouble everywhere rejects, and nothing crosses.
-    const unsigned how = chance.next() % 16;
-    const std::string said = how == 0   ? "BUSY\r\n"
-                             : how == 1 ? "ERR\r\n"
-                             : how == 2 ? "U"
-                             : how < 5  ? ""
-                                        : "UP r\r\n";
-    one.socket.send(said.data(), said.size());
-    if (how == 5) {
-      one.socket.send("UP s\r\n", 6);  // a second answer
-    }
-    if (how == 2 || how == 3 || (how == 0 && one_in(2))) {
-      one.socket.shut_down_sending();
-    }
-    if (how == 4 || how == 6) {
-      one.socket.close_with_reset();  // also right behind its UP
-    }
-    one.answered = true, one.turned_away = how == 0;
+  void answer(ReceivedAttempt& attempt) {
+    // Failures are kept rare: a node whose endpoints all appear unhealthy rejects every request.
+    const unsigned choice = random.next() % 16;
+    const std::string line = choice == 0   ? "BUSY\r\n"
+                             : choice == 1 ? "ERR\r\n"
+                             : choice == 2 ? "U"
+                             : choice < 5  ? ""
+                                           : "UP r\r\n";
+    attempt.socket.send(line.data(), line.size());
+    if (choice == 5) {
+      attempt.socket.send("UP s\r\n", 6);  // a second answer
+    }
+    if (choice == 2 || choice == 3 || (choice == 0 && one_in(2))) {
+      attempt.socket.shut_down_sending();
+    }
+    if (choice == 4 || choice == 6) {
+      attempt.socket.close_with_reset();  // without an answer, or directly after UP
+    }
+    attempt.is_answered = true, attempt.is_rejected = choice == 0;
   }
 
-  void sees() {
-    for (int i = 0; i < kHosts; ++i) {
+  // Accepts connections at the endpoints, reads from all sockets and checks new attempts.
+  void receive() {
+    for (int i = 0; i < kEndpoints; ++i) {
       for (;;) {
-        Socket taken(accept4(listeners[i].descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
-        if (!taken) {
+        Socket accepted(accept4(listeners[i].descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
+        if (!accepted) {
           break;
         }
-        tries.emplace_back().socket = std::move(taken);
-        tries.back().host = i;
+        attempts.emplace_back().socket = std::move(accepted);
+        attempts.back().endpoint = i;
       }
     }
-    for (Attempt& one : tries) {
-      bool end = false;
-      if (one.socket && !one.ended) {
-        one.ended = !one.socket.receive(one.in, 4096, end) || end;
+    for (ReceivedAttempt& attempt : attempts) {
+      bool has_ended = false;
+      if (attempt.socket && !attempt.is_ended_by_node) {
+        attempt.is_ended_by_node = !attempt.socket.receive(attempt.received, 4096, has_ended) || has_ended;
       }
     }
-    for (Attempt& one : tries) {
-      if (!one.known && one.in.find('\n') != std::string::npos) {
-        judge(one);
+    for (ReceivedAttempt& attempt : attempts) {
+      if (!attempt.is_checked && attempt.received.find('\n') != std::string::npos) {
+        check_attempt(attempt);
       }
     }
-    for (Client& one : clients) {
-      bool end = false;
-      if (one.socket) {
-        one.socket.receive(one.in, 4096, end);
+    for (Client& client : clients) {
+      bool has_ended = false;
+      if (client.socket) {
+        client.socket.receive(client.received, 4096, has_ended);
       }
     }
   }
 
-  void judge(Attempt& made) {
-    ++lines;
-    made.known = true;
-    made.id = made.in.substr(5, made.in.find(' ', 5) - 5);
-    const int since = drains_since[made.host];
-    EXPECT_FALSE(since >= 0 && turn > since)
-        << "rule 3: " << made.id << " to a host that drains, turn " << turn;
+  void check_attempt(ReceivedAttempt& attempt) {
+    ++request_lines;
+    attempt.is_checked = true;
+    attempt.id = attempt.received.substr(5, attempt.received.find(' ', 5) - 5);
+    const int draining_since = draining_since_turn[attempt.endpoint];
+    EXPECT_FALSE(draining_since >= 0 && turn > draining_since)
+        << "rule 3: " << attempt.id << " is sent to a draining endpoint, turn " << turn;
     const auto client =
-        std::find_if(clients.begin(), clients.end(), [&](auto& one) { return one.id == made.id; });
-    ASSERT_NE(client, clients.end()) << "rule 1: nothing is sent after the end: " << made.id;
-    EXPECT_FALSE(client->answered()) << "rule 1: a try after the answer: " << made.id;
-    for (const Attempt& earlier : tries) {
-      if (&earlier == &made || earlier.id != made.id) {
+        std::find_if(clients.begin(), clients.end(), [&](auto& other) { return other.id == attempt.id; });
+    ASSERT_NE(client, clients.end()) << "rule 1: an attempt after the end of the request: " << attempt.id;
+    EXPECT_FALSE(client->is_answered()) << "rule 1: an attempt after the answer: " << attempt.id;
+    for (const ReceivedAttempt& earlier : attempts) {
+      if (&earlier == &attempt || earlier.id != attempt.id) {
         continue;
       }
-      EXPECT_TRUE(earlier.answered || earlier.ended) << "rule 2: two out: " << made.id;
-      EXPECT_TRUE(!client->once || earlier.turned_away) << "rule 2: an effect twice: " << made.id;
+      EXPECT_TRUE(earlier.is_answered || earlier.is_ended_by_node)
+          << "rule 2: two attempts in flight: " << attempt.id;
+      EXPECT_TRUE(!client->is_at_most_once || earlier.is_rejected)
+          << "rule 2: the request may have run twice: " << attempt.id;
     }
   }
 
+  // Runs one turn of the event loop. Returns whether every client has been answered or has left.
   bool step() {
-    happens();
-    const bool waits = told >= 0 && !harness->discovery_responses.empty();
+    trigger_random_events();
+    const bool has_unsent_update = updated_endpoint >= 0 && !harness->discovery_responses.empty();
     harness->run_once();
     ++turn;
-    sees();
-    // The answer went out at the end of that turn: the node reads it in the next one, and may write before.
-    if (waits && harness->discovery_responses.empty()) {
-      drains_since[told] = drains ? turn + 1 : -1, told = -1;
+    receive();
+    // Discovery's response was sent at the end of this turn. The node reads it in the next turn, in which it
+    // may still send a request before.
+    if (has_unsent_update && harness->discovery_responses.empty()) {
+      draining_since_turn[updated_endpoint] = is_update_a_drain ? turn + 1 : -1, updated_endpoint = -1;
     }
     return std::all_of(clients.begin(), clients.end(),
-                       [](const Client& one) { return one.gone || one.answered(); });
+                       [](const Client& client) { return client.has_left || client.is_answered(); });
   }
 
-  void ends() {
-    for (const Client& one : clients) {
-      if (one.gone) {
+  // Checks the answers and removes all clients and attempts.
+  void end_round() {
+    for (const Client& client : clients) {
+      if (client.has_left) {
         continue;
       }
-      const std::string word = one.in.substr(0, one.in.find_first_of(" \r"));
+      const std::string answer = client.received.substr(0, client.received.find_first_of(" \r"));
       ++answers;
-      EXPECT_TRUE(word == "UP" || word == "BUSY" || word == "ERR") << one.id << ": " << one.in;
-      EXPECT_TRUE(word == "UP" || one.in.find('\n') + 1 == one.in.size()) << "rule 1: more after its answer";
-      for (const Attempt& made : tries) {
-        EXPECT_TRUE(made.id != one.id || !one.once || word != "BUSY" || made.turned_away)
-            << "rule 2: rejected though it may have run: " << one.id;
+      EXPECT_TRUE(answer == "UP" || answer == "BUSY" || answer == "ERR")
+          << client.id << ": " << client.received;
+      EXPECT_TRUE(answer == "UP" || client.received.find('\n') + 1 == client.received.size())
+          << "rule 1: data after the final answer";
+      for (const ReceivedAttempt& attempt : attempts) {
+        EXPECT_TRUE(attempt.id != client.id || !client.is_at_most_once || answer != "BUSY" ||
+                    attempt.is_rejected)
+            << "rule 2: rejected though it may have run: " << client.id;
       }
     }
     clients.clear();
     for (int i = 0; i < 5; ++i) {
       harness->run_once(), ++turn;
     }
-    tries.clear();
-    for (int i = 0; i < kHosts; ++i) {
+    attempts.clear();
+    for (int i = 0; i < kEndpoints; ++i) {
       while (Socket(accept4(listeners[i].descriptor(), nullptr, nullptr, SOCK_NONBLOCK))) {
       }
     }
@@ -207,28 +223,29 @@
 
 }  // namespace
 
-TEST(Crossings, AThousandAtRandomKeepTheRules) {
+TEST(EventOrder, RulesHoldForAThousandRequestsWithRandomEvents) {
   SCOPED_TRACE("seed " + std::to_string(kSeed));
   spdlog::set_level(spdlog::level::err);
-  RandomGenerator chance(kSeed);
-  int lines = 0;
+  RandomGenerator random(kSeed);
+  int request_lines = 0;
   int answers = 0;
   for (int node = 0; node < kNodes && !testing::Test::HasFailure(); ++node) {
-    Many many(chance);
-    for (int round = 0; round < kRounds; ++round) {
-      for (int i = 0; i < kTogether; ++i) {
-        many.opens();
+    RandomScenario scenario(random);
+    for (int round = 0; round < kRoundsPerNode; ++round) {
+      for (int i = 0; i < kClientsPerRound; ++i) {
+        scenario.connect_client();
       }
       int turns = 0;
-      while (!many.step() && ++turns < kMostTurns) {
+      while (!scenario.step() && ++turns < kMaxTurnsPerRound) {
       }
-      EXPECT_LT(turns, kMostTurns) << "rule 1: somebody has no answer, node " << node << " round " << round;
-      many.ends();
+      EXPECT_LT(turns, kMaxTurnsPerRound)
+          << "rule 1: a client has no answer, node " << node << " round " << round;
+      scenario.end_round();
     }
-    lines += many.lines, answers += many.answers;
+    request_lines += scenario.request_lines, answers += scenario.answers;
   }
   spdlog::set_level(spdlog::level::info);
-  std::cout << lines << " lines at hosts, " << answers << " clients answered" << std::endl;
-  EXPECT_GT(lines, 500) << "too few to cross";
+  std::cout << request_lines << " request lines at hosts, " << answers << " clients answered" << std::endl;
+  EXPECT_GT(request_lines, 500) << "too few attempts for the test to be meaningful";
   EXPECT_GT(answers, 250);
 }
--- a/tests/node/event_order_test.cpp
+++ b/tests/node/event_order_test.cpp
@@ -1,5 +1,6 @@
-// Rare moments: two events that cross, on loopback sockets, each crossing forced step by step by the story.
-// None waits for luck, and none asserts a machine's speed: spans are the protocol page's own.
+// Races between two events, on loopback sockets. Each test forces the order of the events step by step, so
+// that the result depends neither on chance nor on the speed of the machine; the time limits are those of the
+// protocol.
 #include <gtest/gtest.h>
 
 #include "support/fixtures.h"
@@ -9,475 +10,494 @@
 namespace {
 
 const std::string kBusy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-constexpr int kToldUnheardMs = 6000, kToldAnewMs = 4000;  // protocol page
-
-std::string opening(const std::string& more = "") {
-  static int last = 0;
-  return "OPEN 2f" + std::to_string(++last) + " 2e c=plain,t=x,d=2000,g=3d" + more + "\r\n";
+// The times after which the protocol deems a node notified of changes: those that an unanswered watch missed,
+// and those at a new address of discovery.
+constexpr int kNotifiedAfterSilenceMs = 6000, kNotifiedAfterAddressChangeMs = 4000;
+
+// Returns a request line whose id is unique in this process.
+std::string request_line() {
+  static int last_id = 0;
+  return "OPEN 2f" + std::to_string(++last_id) + " 2e c=plain,t=x,d=2000,g=3d\r\n";
 }
 
-// What discovery says of hosts: whole lists.
-std::string list(const NodeHarness& harness, int version, const std::vector<std::string>& hosts,
-                 const std::string& lifecycle) {
-  nlohmann::json named = nlohmann::json::array();
-  for (const std::string& host : hosts) {
-    named.push_back({{"instanceId", host},
-                     {"hostPort", NodeHarness::address_text(harness.endpoint_address)},
-                     {"zone", "near"},
-                     {"lifecycle", lifecycle}});
+// Returns discovery's response with a complete list in which all endpoints have the same lifecycle state.
+std::string complete_list(const NodeHarness& harness, int version, const std::vector<std::string>& endpoints,
+                          const std::string& lifecycle) {
+  nlohmann::json instances = nlohmann::json::array();
+  for (const std::string& endpoint : endpoints) {
+    instances.push_back({{"instanceId", endpoint},
+                         {"hostPort", NodeHarness::address_text(harness.endpoint_address)},
+                         {"zone", "near"},
+                         {"lifecycle", lifecycle}});
   }
   return NodeHarness::http(
-      nlohmann::json({{"generation", version}, {"reset", true}, {"instances", named}}).dump());
+      nlohmann::json({{"generation", version}, {"reset", true}, {"instances", instances}}).dump());
 }
-const std::vector<std::string> kAll = {"h0", "h1", "h2", "h3"};
+const std::vector<std::string> kAllEndpoints = {"h0", "h1", "h2", "h3"};
 
-bool asks(const NodeHarness& harness) {
+// Whether discovery has received a complete call that it has not answered.
+bool has_discovery_call(const NodeHarness& harness) {
   return harness.discovery_request.find("\r\n\r\n") != std::string::npos;
 }
 
 }  // namespace
 
-TEST(Crossings, AWatchSilentFromItsFirstMomentIsMadeGoodBeforeItCountsAsTold) {
+TEST(EventOrder, UnansweredWatchIsRepeatedBeforeTheNodeIsDeemedNotified) {
   NodeHarness harness;
-  harness.discovery_responses = {kBusy};  // danger: one call lost before made the next one wait longer
+  harness.discovery_responses = {kBusy};  // a failed call before it must not delay the repeated watch
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
-  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 2 && asks(harness); }));
-  const TimePoint silent_from = harness.loop.now();
   EXPECT_TRUE(
-      harness.run_until([&] { return harness.discovery_connections == 3 && asks(harness); }, kToldUnheardMs))
-      << "opened anew";
-  harness.discovery_responses = {kBusy, NodeHarness::http("garbage"),
-                                 list(harness, 2, kAll, "draining")};  // many ask just then
-  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, kToldUnheardMs));
-  EXPECT_LT(harness.loop.now() - silent_from, kToldUnheardMs * kMs);
-  EXPECT_EQ(harness.read(harness.connect_client(opening())).substr(0, 4), "BUSY")
-      << "and what it says is followed";
+      harness.run_until([&] { return harness.discovery_connections == 2 && has_discovery_call(harness); }));
+  const TimePoint watch_sent_at = harness.loop.now();
+  EXPECT_TRUE(
+      harness.run_until([&] { return harness.discovery_connections == 3 && has_discovery_call(harness); },
+                        kNotifiedAfterSilenceMs))
+      << "the watch is repeated on a new connection";
+  harness.discovery_responses = {
+      kBusy, NodeHarness::http("garbage"),
+      complete_list(harness, 2, kAllEndpoints,
+                    "draining")};  // the service is overloaded by the calls of all nodes
+  EXPECT_TRUE(
+      harness.run_until([&] { return harness.discovery_responses.empty(); }, kNotifiedAfterSilenceMs));
+  EXPECT_LT(harness.loop.now() - watch_sent_at, kNotifiedAfterSilenceMs * kMs);
+  EXPECT_EQ(harness.read(harness.connect_client(request_line())).substr(0, 4), "BUSY")
+      << "the list is applied";
 }
 
-TEST(Crossings, ANewPlaceThatTurnsAwayIsAskedAgainBeforeItCountsAsTold) {
+TEST(EventOrder, NewDiscoveryThatRejectsCallsIsCalledAgainBeforeTheNodeIsDeemedNotified) {
   NodeHarness harness;
-  EXPECT_TRUE(harness.run_until([&] { return asks(harness); }));
+  EXPECT_TRUE(harness.run_until([&] { return has_discovery_call(harness); }));
   harness.reload_with_new_discovery();
-  const TimePoint moved = harness.loop.now();
-  harness.discovery_responses = {kBusy, kBusy, kBusy, kBusy, list(harness, 1, kAll, "draining")};
-  EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }, kToldAnewMs));
-  EXPECT_LT(harness.loop.now() - moved, kToldAnewMs * kMs);
+  const TimePoint reloaded_at = harness.loop.now();
+  harness.discovery_responses = {kBusy, kBusy, kBusy, kBusy,
+                                 complete_list(harness, 1, kAllEndpoints, "draining")};
+  EXPECT_TRUE(
+      harness.run_until([&] { return harness.discovery_responses.empty(); }, kNotifiedAfterAddressChangeMs));
+  EXPECT_LT(harness.loop.now() - reloaded_at, kNotifiedAfterAddressChangeMs * kMs);
 }
 
 namespace {
 
-// Takes no connection until it is let: what is dialled meanwhile comes up late, when its SYN is sent again.
-struct Held {
+// Prevents connections to the endpoints' listener until `release` is called. A connection begun before is
+// established late, when its SYN is retransmitted.
+struct BlockedEndpointListener {
   NodeHarness& harness;
-  Socket filler;  // one that waits to be accepted fills a backlog of none
-  explicit Held(NodeHarness& to) : harness(to) {
+  Socket filler;  // fills the accept queue, whose backlog is 0
+  explicit BlockedEndpointListener(NodeHarness& blocked) : harness(blocked) {
     listen(harness.endpoint_listener.descriptor(), 0);
     EXPECT_EQ(start_connecting(harness.endpoint_address, 1024, 0, filler), ConnectStart::in_progress);
-    pollfd stands{filler.descriptor(), POLLOUT, 0};
-    EXPECT_EQ(poll(&stands, 1, 5000), 1);
+    pollfd connected{filler.descriptor(), POLLOUT, 0};
+    EXPECT_EQ(poll(&connected, 1, 5000), 1);
   }
-  void let() {
+  void release() {
     listen(harness.endpoint_listener.descriptor(), 16);
-    Socket taken(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, 0));
-    EXPECT_TRUE(taken);
+    Socket accepted(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, 0));
+    EXPECT_TRUE(accepted);
   }
 };
 
-// A client whose try's connection stands, while the node does not know so yet: the next turn serves both.
-struct Standing {
+// A client whose attempt's connection is established, which the node has not noticed yet: its next turn
+// handles events of both sockets.
+struct UnnoticedEstablishedAttempt {
   int client = 0, host = 0;
-  explicit Standing(NodeHarness& harness) {
-    // Two places in the loop are given again in the opposite order: the host's comes before the client's.
-    for (const int gone : {harness.connect_client(""), harness.connect_client("")}) {
-      harness.reset(gone), harness.run_for(20);
+  explicit UnnoticedEstablishedAttempt(NodeHarness& harness) {
+    // The event loop reuses the slots of these two clients in reverse order, so that the host's socket is
+    // handled before the client's.
+    for (const int closed_client : {harness.connect_client(""), harness.connect_client("")}) {
+      harness.reset(closed_client), harness.run_for(20);
     }
     Socket socket;
     EXPECT_EQ(start_connecting(harness.node_address, 1024, 0, socket), ConnectStart::in_progress);
     client = harness.keep_socket(std::move(socket));
-    const std::string line = opening();
-    Socket taken;
-    for (int i = 0; i < 400 && !taken; ++i) {
+    const std::string line = request_line();
+    Socket accepted;
+    for (int i = 0; i < 400 && !accepted; ++i) {
       if (i == 2) {
         harness.socket(client).send(line.data(), line.size());
       }
       harness.run_once();
-      taken = Socket(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
+      accepted = Socket(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
     }
-    EXPECT_TRUE(taken);
-    host = harness.keep_socket(std::move(taken));
+    EXPECT_TRUE(accepted);
+    host = harness.keep_socket(std::move(accepted));
   }
 };
 
-std::string all_of(NodeHarness& harness, int number) {  // what came until its end
+// Returns all bytes received until the peer closes the connection.
+std::string read_until_closed(NodeHarness& harness, int descriptor) {
   std::string bytes;
-  bool end = false;
-  EXPECT_TRUE(harness.run_until([&] { return !harness.socket(number).receive(bytes, 65536, end) || end; }));
+  bool has_ended = false;
+  EXPECT_TRUE(harness.run_until(
+      [&] { return !harness.socket(descriptor).receive(bytes, 65536, has_ended) || has_ended; }));
   return bytes;
 }
 
 }  // namespace
 
-TEST(Crossings, AHostAnnouncedAsLeavingWhileItsConnectionComesUpIsSentNothing) {
+TEST(EventOrder, EndpointThatLeavesWhileItsConnectionIsBeingEstablishedIsSentNothing) {
   for (const char* lifecycle : {"draining", "removed"}) {
-    Socket other;
-    const sockaddr_in there = NodeHarness::listen_on_loopback(other);
+    Socket other_listener;
+    const sockaddr_in other_address = NodeHarness::listen_on_loopback(other_listener);
     NodeHarness harness(1024, true, [](Configuration& to) {
-      to.env["bounds"]["dialTimeoutMs"] = 10000;
-      to.env["bounds"]["maxAttempts"] = 1;  // what never began is no try of it
-      to.env["lanes"][0]["semantics"] = "at_most_once";
-      to.env["lanes"][0]["hardLimitMs"] = 9000;
+      to.settings["bounds"]["dialTimeoutMs"] = 10000;
+      to.settings["bounds"]["maxAttempts"] = 1;  // an attempt of which nothing was sent does not count
+      to.settings["lanes"][0]["semantics"] = "at_most_once";
+      to.settings["lanes"][0]["hardLimitMs"] = 9000;
     });
-    std::string line = opening();
+    std::string line = request_line();
     line.replace(line.find("d=2000"), 6, "d=9000");
-    Held held(harness);
+    BlockedEndpointListener blocked(harness);
     const int client = harness.connect_client(line);
-    nlohmann::json hosts = nlohmann::json::array();
-    for (const std::string& host : kAll) {
-      hosts.push_back({{"instanceId", host},
-                       {"hostPort", NodeHarness::address_text(harness.endpoint_address)},
-                       {"lifecycle", lifecycle}});
+    nlohmann::json instances = nlohmann::json::array();
+    for (const std::string& endpoint : kAllEndpoints) {
+      instances.push_back({{"instanceId", endpoint},
+                           {"hostPort", NodeHarness::address_text(harness.endpoint_address)},
+                           {"lifecycle", lifecycle}});
     }
-    hosts.push_back({{"instanceId", "h9"},
-                     {"hostPort", NodeHarness::address_text(there)},
-                     {"zone", "near"},
-                     {"lifecycle", "up"}});
+    instances.push_back({{"instanceId", "h9"},
+                         {"hostPort", NodeHarness::address_text(other_address)},
+                         {"zone", "near"},
+                         {"lifecycle", "up"}});
     harness.discovery_responses = {NodeHarness::http(
-        nlohmann::json({{"generation", 2}, {"reset", false}, {"instances", hosts}}).dump())};
+        nlohmann::json({{"generation", 2}, {"reset", false}, {"instances", instances}}).dump())};
     EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
     harness.run_for(20);
-    held.let();
-    Socket taken;
+    blocked.release();
+    Socket accepted;
     EXPECT_TRUE(harness.run_until([&] {
-      if (!taken)
-        taken = Socket(accept4(other.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
-      return static_cast<bool>(taken);
-    })) << "it is placed anew";
-    EXPECT_EQ(all_of(harness, harness.accept_endpoint_connection()), "") << lifecycle;
-    const int host = harness.keep_socket(std::move(taken));
+      if (!accepted)
+        accepted = Socket(accept4(other_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
+      return static_cast<bool>(accepted);
+    })) << "an attempt at another endpoint follows";
+    EXPECT_EQ(read_until_closed(harness, harness.accept_endpoint_connection()), "") << lifecycle;
+    const int host = harness.keep_socket(std::move(accepted));
     EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");
     harness.write(host, "UP x\r\n");
     EXPECT_EQ(harness.read(client), "UP x\r\n");
   }
 }
 
-TEST(Crossings, AClientThatLeavesAsItsTryComesUpIsNotSentOn) {
+TEST(EventOrder, RequestIsNotSentIfItsClientLeavesAsTheAttemptIsEstablished) {
   for (const bool by_reset : {true, false}) {
     NodeHarness harness;
-    Standing both(harness);
+    UnnoticedEstablishedAttempt attempt(harness);
     if (by_reset) {
-      harness.reset(both.client);
+      harness.reset(attempt.client);
     } else {
-      harness.shut_down_writing(both.client);
+      harness.shut_down_writing(attempt.client);
     }
-    EXPECT_EQ(all_of(harness, both.host), "") << (by_reset ? "RST" : "FIN");
+    EXPECT_EQ(read_until_closed(harness, attempt.host), "") << (by_reset ? "RST" : "FIN");
   }
 }
 
-// Its line and its end are there before the node's next turn: not even a connection is made for it.
-TEST(Crossings, AClientThatEndsWithItsLineCostsNoHostAConnection) {
+// The node receives the request line and the client's close in the same turn.
+TEST(EventOrder, NoAttemptIsMadeForAClientThatClosesTogetherWithItsRequest) {
   NodeHarness harness;
   Socket client;
   ASSERT_EQ(start_connecting(harness.node_address, 1024, 0, client), ConnectStart::in_progress);
   harness.run_for(20);
-  const std::string line = opening();
+  const std::string line = request_line();
   EXPECT_EQ(client.send(line.data(), line.size()), line.size());
   client.shut_down_sending();
-  const int number = harness.keep_socket(std::move(client));
-  EXPECT_EQ(harness.read(number).substr(0, 5), "ERR\r\n") << "it may still listen";
+  const int descriptor = harness.keep_socket(std::move(client));
+  EXPECT_EQ(harness.read(descriptor).substr(0, 5), "ERR\r\n") << "the client may still read";
   harness.run_for(100);
   EXPECT_FALSE(Socket(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK)));
-  // The next one is served as ever: nothing of the one that left counts as out.
-  const int next = harness.connect_client(opening());
+  // The next client is served: nothing of the former request is left.
+  const int next = harness.connect_client(request_line());
   harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
   EXPECT_EQ(harness.read(next), "UP x\r\n");
 }
 
-TEST(Crossings, ATryWhoseTimeEndedDuringAPauseIsNotSentOn) {
+TEST(EventOrder, RequestIsNotSentIfItsDeadlinePassesWhileTheProcessIsPaused) {
   NodeHarness harness;
-  Standing both(harness);
-  timespec pause{2, 100000000};  // longer than its client waits; the process is held up as by a SIGSTOP
+  UnnoticedEstablishedAttempt attempt(harness);
+  timespec pause{2, 100000000};  // 2.1 s, as by SIGSTOP; the client waits 2 s
   nanosleep(&pause, nullptr);
-  EXPECT_EQ(all_of(harness, both.host), "");
-  EXPECT_EQ(harness.read(both.client).substr(0, 4), "BUSY");
+  EXPECT_EQ(read_until_closed(harness, attempt.host), "");
+  EXPECT_EQ(harness.read(attempt.client).substr(0, 4), "BUSY");
 }
 
 namespace {
 
-// What a client has when the process is gone: nothing turns any more.
-std::string after_the_end(NodeHarness& harness, int client) {
-  EXPECT_TRUE(harness.run_until([&] { return harness.node->done(); }, 5000));
+// Waits until the node may exit, destroys it, and returns what the client has received.
+std::string received_before_exit(NodeHarness& harness, int client) {
+  EXPECT_TRUE(harness.run_until([&] { return harness.node->may_exit(); }, 5000));
   harness.node.reset();
   std::string bytes;
-  bool end = false;
-  while (harness.socket(client).receive(bytes, 65536, end).value_or(0) > 0) {
+  bool has_ended = false;
+  while (harness.socket(client).receive(bytes, 65536, has_ended).value_or(0) > 0) {
   }
   return bytes;
 }
 
 }  // namespace
 
-TEST(Crossings, WhatWaitsLongerThanAStopLastsIsAnsweredBeforeItsEnd) {
+TEST(EventOrder, RequestWithALongDeadlineIsAnsweredBeforeTheShutdownEnds) {
   for (const char* effect : {"at_most_once", "idempotent"}) {
     NodeHarness harness(1024, true, [&](Configuration& to) {
-      to.env["lanes"][0]["hardLimitMs"] = 9000;
-      to.env["lanes"][0]["semantics"] = effect;
-      to.env["bounds"]["maxAttempts"] = 1;
+      to.settings["lanes"][0]["hardLimitMs"] = 9000;
+      to.settings["lanes"][0]["semantics"] = effect;
+      to.settings["bounds"]["maxAttempts"] = 1;
     });
-    std::string line = opening();
+    std::string line = request_line();
     line.replace(line.find("d=2000"), 6, "d=9000");
     const int client = harness.connect_client(line);
     const int host = harness.accept_endpoint_connection();
-    EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");  // and it never answers
-    harness.node->stop();
-    const std::string last = after_the_end(harness, client);
-    EXPECT_EQ(last.substr(0, 4), effect == std::string("idempotent") ? "BUSY" : "ERR\r") << effect;
+    EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");  // the host never answers
+    harness.node->begin_shutdown();
+    const std::string received = received_before_exit(harness, client);
+    EXPECT_EQ(received.substr(0, 4), effect == std::string("idempotent") ? "BUSY" : "ERR\r") << effect;
   }
 }
 
-TEST(Crossings, ALineThatComesInPiecesAcrossAStopIsAnswered) {
+TEST(EventOrder, RequestLineThatIsInterruptedByAShutdownIsAnswered) {
   NodeHarness harness;
-  const std::string line = opening();
+  const std::string line = request_line();
   const int client = harness.connect_client(line.substr(0, 9));
-  harness.node->stop();
+  harness.node->begin_shutdown();
   harness.run_for(1300);
-  EXPECT_FALSE(harness.node->done()) << "half a line is one that comes";
+  EXPECT_FALSE(harness.node->may_exit()) << "a client has sent half of a request line";
   harness.write(client, line.substr(9));
   harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
   EXPECT_EQ(harness.read(client, 12, 2000), "UP x\r\nMOVE\r\n");
 }
 
-TEST(Crossings, WhoTheKernelAcceptedAsTheNodeWasAboutToEndIsAnswered) {
+TEST(EventOrder, ClientInTheAcceptQueueWhenTheNodeIsAboutToExitIsAnswered) {
   NodeHarness harness;
-  harness.node->stop();
+  harness.node->begin_shutdown();
   harness.run_for(1100);
   Socket socket;
   EXPECT_EQ(start_connecting(harness.node_address, 1024, 0, socket), ConnectStart::in_progress);
-  const std::string line = opening();
-  EXPECT_TRUE(socket.send(line.data(), line.size()));  // loopback: it is written to what the kernel accepted
-  EXPECT_FALSE(harness.node->done());
+  const std::string line = request_line();
+  EXPECT_TRUE(
+      socket.send(line.data(), line.size()));  // on loopback the kernel has accepted the connection already
+  EXPECT_FALSE(harness.node->may_exit());
   const int client = harness.keep_socket(std::move(socket));
   harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
   EXPECT_EQ(harness.read(client, 12, 2000), "UP x\r\nMOVE\r\n");
   harness.shut_down_writing(client);
-  EXPECT_TRUE(harness.run_until([&] { return harness.node->done(); }, 2000));
+  EXPECT_TRUE(harness.run_until([&] { return harness.node->may_exit(); }, 2000));
 }
 
-TEST(Crossings, AListServiceThatIsBackAfterALongTimeIsAskedWithinTheGrace) {
-  NodeHarness harness(1024, true, [](Configuration& to) { to.env["discovery"] = "pushed"; });
-  EXPECT_TRUE(harness.run_until([&] { return asks(harness); }));
-  const sockaddr_in there = harness.discovery_address;
+TEST(EventOrder, DiscoveryThatReturnsAfterALongOutageIsCalledWithinTheDrainGracePeriod) {
+  NodeHarness harness(1024, true, [](Configuration& to) { to.settings["discovery"] = "pushed"; });
+  EXPECT_TRUE(harness.run_until([&] { return has_discovery_call(harness); }));
+  const sockaddr_in address = harness.discovery_address;
   harness.discovery_listener.close();
   harness.discovery_connection.close(), harness.discovery_request.clear();
-  harness.run_for(4000);  // the waits between calls have grown
-  EXPECT_FALSE(listen_on(there, harness.discovery_listener));
-  const TimePoint back = harness.loop.now();
-  harness.discovery_responses = {list(harness, 2, kAll, "draining")};
+  harness.run_for(4000);  // the backoff between calls grows
+  EXPECT_FALSE(listen_on(address, harness.discovery_listener));
+  const TimePoint available_at = harness.loop.now();
+  harness.discovery_responses = {complete_list(harness, 2, kAllEndpoints, "draining")};
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
-  EXPECT_LT(harness.loop.now() - back, 1000 * kMs) << "the grace in the settings";
+  EXPECT_LT(harness.loop.now() - available_at, 1000 * kMs) << "the drain grace period of the settings";
 }
 
-TEST(Crossings, AServiceThatCountsAnewIsAskedForTheWholeList) {
+TEST(EventOrder, DiscoveryThatRestartsItsVersionsIsAskedForTheCompleteList) {
   NodeHarness harness;
   harness.discovery_responses = {NodeHarness::http(R"({"generation":9,"reset":false,"instances":[]})"),
                                  NodeHarness::http(R"({"generation":3,"reset":false,"instances":[]})")};
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
-  EXPECT_TRUE(harness.run_until([&] { return asks(harness); }));
+  EXPECT_TRUE(harness.run_until([&] { return has_discovery_call(harness); }));
   EXPECT_EQ(harness.discovery_request.substr(0, 18), "GET /api/targets H")
-      << "what it told before it began anew is unknown";
+      << "changes before its restart may be missing";
 }
 
-TEST(Crossings, WhatStandsBehindAnAnswerIsNotTheAnswerToTheNextCall) {
-  const std::string second = R"({"generation":3,"reset":true,"instances":[]})";
-  for (const std::string& behind :
-       {NodeHarness::http(second),
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2c\r\n" + second + "\r\n0\r\n\r\n"}) {
+TEST(EventOrder, DataAfterAResponseIsNotTakenForTheNextResponse) {
+  const std::string unrequested = R"({"generation":3,"reset":true,"instances":[]})";
+  for (const std::string& extra_response :
+       {NodeHarness::http(unrequested),
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2c\r\n" + unrequested + "\r\n0\r\n\r\n"}) {
     NodeHarness harness;
-    EXPECT_TRUE(harness.run_until([&] { return asks(harness); }));
-    harness.discovery_responses = {list(harness, 2, kAll, "up") + behind};
-    EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 2 && asks(harness); }, 2000))
-        << "out of step, dialled anew";
+    EXPECT_TRUE(harness.run_until([&] { return has_discovery_call(harness); }));
+    harness.discovery_responses = {complete_list(harness, 2, kAllEndpoints, "up") + extra_response};
+    EXPECT_TRUE(harness.run_until(
+        [&] { return harness.discovery_connections == 2 && has_discovery_call(harness); }, 2000))
+        << "the connection is out of step and replaced by a new one";
     EXPECT_NE(harness.discovery_request.find("after=2&"), std::string::npos) << harness.discovery_request;
-    const int client = harness.connect_client(opening());
+    const int client = harness.connect_client(request_line());
     const int host = harness.accept_endpoint_connection();
     harness.write(host, "UP x\r\n");
-    EXPECT_EQ(harness.read(client), "UP x\r\n") << "the second list, of no hosts, was never asked for";
+    EXPECT_EQ(harness.read(client), "UP x\r\n") << "the empty list was not requested and must not be applied";
   }
 }
 
-TEST(Crossings, WhereOnlyDrainsBindAHostCalledGoneIsStillSentTo) {
+TEST(EventOrder, WithOnlyDrainingBindingARemovedEndpointIsStillUsed) {
   NodeHarness harness(1024, true, [](Configuration& to) {
-    to.env["guarantees"]["drainBindsAlone"] = true;
-    to.env["bounds"]["probes"] = true;
+    to.settings["guarantees"]["drainBindsAlone"] = true;
+    to.settings["bounds"]["probes"] = true;
   });
   harness.discovery_responses = {NodeHarness::http(R"({"generation":2,"reset":true,"instances":[]})")};
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
-  const int client = harness.connect_client(opening());
-  std::string up;
-  EXPECT_TRUE(harness.run_until([&] {  // probes and tries come to one listener
-    Socket taken(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
-    if (taken)
-      harness.keep_socket(std::move(taken));
-    for (Socket& one : harness.sockets) {
+  const int client = harness.connect_client(request_line());
+  std::string answer;
+  EXPECT_TRUE(harness.run_until([&] {  // the listener receives health checks and attempts
+    Socket accepted(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
+    if (accepted)
+      harness.keep_socket(std::move(accepted));
+    for (Socket& socket : harness.sockets) {
       std::string line;
-      bool end = false;
-      if (!one || one.descriptor() == client)
+      bool has_ended = false;
+      if (!socket || socket.descriptor() == client)
         continue;
-      one.receive(line, 4096, end);
+      socket.receive(line, 4096, has_ended);
       if (line.starts_with("PING"))
-        one.send("PONG\r\n", 6);
+        socket.send("PONG\r\n", 6);
       if (line.starts_with("OPEN"))
-        one.send("UP x\r\n", 6);
+        socket.send("UP x\r\n", 6);
     }
-    bool end = false;
-    harness.socket(client).receive(up, 4096, end);
-    return up == "UP x\r\n";
-  })) << up;
+    bool has_ended = false;
+    harness.socket(client).receive(answer, 4096, has_ended);
+    return answer == "UP x\r\n";
+  })) << answer;
 }
 
-TEST(Crossings, AProbeWhoseConnectionComesUpAfterItsHostDrainsIsNotSent) {
+TEST(EventOrder, HealthCheckIsNotSentIfItsEndpointDrainsBeforeTheConnectionIsEstablished) {
   NodeHarness harness(1024, true, [](Configuration& to) {
-    to.env["bounds"]["probes"] = true;
-    to.env["bounds"]["dialTimeoutMs"] = 10000;
+    to.settings["bounds"]["probes"] = true;
+    to.settings["bounds"]["dialTimeoutMs"] = 10000;
   });
-  Held held(harness);
-  harness.run_for(2500);  // all four are due by then, and held
-  harness.discovery_responses = {list(harness, 2, kAll, "draining")};
+  BlockedEndpointListener blocked(harness);
+  harness.run_for(2500);  // by then health checks of all four endpoints are waiting for their connections
+  harness.discovery_responses = {complete_list(harness, 2, kAllEndpoints, "draining")};
   EXPECT_TRUE(harness.run_until([&] { return harness.discovery_responses.empty(); }));
   harness.run_for(20);
-  held.let();
-  std::string sent;
+  blocked.release();
+  std::string received;
   harness.run_until(
       [&] {
-        Socket taken(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
-        if (taken) {
-          harness.keep_socket(std::move(taken));
+        Socket accepted(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
+        if (accepted) {
+          harness.keep_socket(std::move(accepted));
         }
-        bool end = false;
-        for (Socket& one : harness.sockets) {
-          one.receive(sent, 4096, end);
+        bool has_ended = false;
+        for (Socket& socket : harness.sockets) {
+          socket.receive(received, 4096, has_ended);
         }
-        return !sent.empty();
+        return !received.empty();
       },
-      4500);  // the next SYN of one that is still dialled comes within that
-  EXPECT_EQ(sent, "");
+      4500);  // a SYN that was not answered is retransmitted within this time
+  EXPECT_EQ(received, "");
 }
 
-TEST(Crossings, AHandOverThatIsOutIsCrossedByAStopAnEndOrADrain) {
-  for (const char* crossing : {"stop", "end", "drain", "drain once up"}) {
-    SCOPED_TRACE(crossing);
-    const std::string what = crossing;
+TEST(EventOrder, AdoptedConnectionDuringAShutdownAClientResetOrADrain) {
+  for (const std::string event : {"shutdown", "client reset", "drain", "drain after UP"}) {
+    SCOPED_TRACE(event);
     NodeHarness harness;
     const int client = harness.connect_client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n");
     const int host = harness.accept_endpoint_connection();
     EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");
-    if (what == "drain once up") {
+    if (event == "drain after UP") {
       harness.write(host, "UP x\r\n");
       EXPECT_EQ(harness.read(client), "UP x\r\n");
     }
-    if (what == "end") {
+    if (event == "client reset") {
       harness.reset(client);
-    } else if (what == "stop") {
-      harness.node->stop();
+    } else if (event == "shutdown") {
+      harness.node->begin_shutdown();
     } else {
       harness.discovery_responses = {
           NodeHarness::http(R"({"generation":2,"reset":false,"instances":[{"instanceId":"h2","hostPort":")" +
                             NodeHarness::address_text(harness.endpoint_address) +
                             R"(","zone":"near","lifecycle":"draining"}]})")};
     }
-    if (what != "end") {
+    if (event != "client reset") {
       EXPECT_EQ(harness.read(client, 6, 9000), "MOVE\r\n");
     }
     EXPECT_TRUE(harness.is_closed_by_peer(host));
   }
 }
 
-// Event A by event B, in both orders, in one turn and with a turn between, while an unrepeatable try is out.
-// Cells that cannot happen: a host says nothing after its reset, a client's two ends are one, a host turns
-// away once.
-TEST(Crossings, EachEventByEachOtherInBothOrders) {
+// Two events in both orders, in one turn of the event loop and in consecutive turns, while an attempt that
+// must not be repeated is in flight. Impossible pairs are skipped: a host cannot answer after its reset, a
+// client cannot leave twice, and a host cannot answer twice.
+TEST(EventOrder, EachPairOfEventsInBothOrders) {
   const std::vector<std::string> events = {"client FIN", "client RST", "UP",     "BUSY",
-                                           "host RST",   "drains",     "SIGTERM"};
-  const auto has = [](const std::string& word, const char* part) {
-    return word.find(part) != std::string::npos;
+                                           "host RST",   "drain",      "SIGTERM"};
+  const auto contains = [](const std::string& event, const char* part) {
+    return event.find(part) != std::string::npos;
   };
-  int played = 0;
+  int pairs = 0;
   for (const std::string& a : events) {
     for (const std::string& b : events) {
-      for (const bool turn_between : {false, true}) {
-        const bool two_ends = has(a, "client") && has(b, "client");
-        const bool after_reset = a == "host RST" && (b == "UP" || b == "BUSY");
+      for (const bool in_consecutive_turns : {false, true}) {
+        const bool client_leaves_twice = contains(a, "client") && contains(b, "client");
+        const bool answer_after_reset = a == "host RST" && (b == "UP" || b == "BUSY");
         const bool two_answers = (a == "UP" || a == "BUSY") && (b == "UP" || b == "BUSY");
-        if (a == b || two_ends || after_reset || two_answers) {
+        if (a == b || client_leaves_twice || answer_after_reset || two_answers) {
           continue;
         }
-        SCOPED_TRACE(a + (turn_between ? ", a turn, " : ", ") + b);
-        ++played;
+        SCOPED_TRACE(a + (in_consecutive_turns ? ", in the next turn " : ", ") + b);
+        ++pairs;
         NodeHarness harness(1024, true,
-                            [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
-        std::string line = opening();
+                            [](Configuration& to) { to.settings["lanes"][0]["semantics"] = "at_most_once"; });
+        std::string line = request_line();
         line.replace(line.find("d=2000"), 6, "d=250");
         const int client = harness.connect_client(line);
         const int host = harness.accept_endpoint_connection();
         EXPECT_EQ(harness.read(host).substr(0, 5), "OPEN ");
-        const auto happens = [&](const std::string& what) {
-          if (what == "client FIN") {
+        const auto trigger = [&](const std::string& event) {
+          if (event == "client FIN") {
             harness.shut_down_writing(client);
           }
-          if (what == "client RST") {
+          if (event == "client RST") {
             harness.reset(client);
           }
-          if (what == "UP" || what == "BUSY") {
-            harness.socket(host).send((what + "\r\n").data(), what.size() + 2);
+          if (event == "UP" || event == "BUSY") {
+            harness.socket(host).send((event + "\r\n").data(), event.size() + 2);
           }
-          if (what == "host RST") {
+          if (event == "host RST") {
             harness.reset(host);
           }
-          if (what == "drains") {
-            harness.discovery_responses = {list(harness, 2, kAll, "draining")},
-            harness.run_once();  // it goes out with a turn
+          if (event == "drain") {
+            harness.discovery_responses = {complete_list(harness, 2, kAllEndpoints, "draining")},
+            harness.run_once();  // sends the response
           }
-          if (what == "SIGTERM") {
-            harness.node->stop();
+          if (event == "SIGTERM") {
+            harness.node->begin_shutdown();
           }
         };
-        happens(a);
-        if (turn_between) {
+        trigger(a);
+        if (in_consecutive_turns) {
           harness.run_once();
         }
-        happens(b);
-        const bool gone = has(a, "client") || has(b, "client");
-        std::string got;
-        bool end = false;
-        int further = 0;
+        trigger(b);
+        const bool client_left = contains(a, "client") || contains(b, "client");
+        std::string received;
+        bool has_ended = false;
+        int further_attempts = 0;
         harness.run_until([&] {
-          Socket taken(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
-          if (taken) {
-            ++further, taken.send("BUSY\r\n", 6), harness.keep_socket(std::move(taken));
+          Socket accepted(accept4(harness.endpoint_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
+          if (accepted) {
+            ++further_attempts, accepted.send("BUSY\r\n", 6), harness.keep_socket(std::move(accepted));
           }
-          return a == "client RST" || b == "client RST" || !harness.socket(client).receive(got, 4096, end) ||
-                 end || got.find('\n') != std::string::npos;
+          return a == "client RST" || b == "client RST" ||
+                 !harness.socket(client).receive(received, 4096, has_ended) || has_ended ||
+                 received.find('\n') != std::string::npos;
         });
         harness.run_for(30);
         const bool up = a == "UP" || b == "UP";
         const bool busy = a == "BUSY" || b == "BUSY";
         if (!busy) {
-          EXPECT_EQ(further, 0) << "what may have run is tried once";
+          EXPECT_EQ(further_attempts, 0) << "a request that may have run is not attempted again";
         }
-        if (!gone && up) {
-          EXPECT_EQ(got.substr(0, 4), "UP\r\n");
+        if (!client_left && up) {
+          EXPECT_EQ(received.substr(0, 4), "UP\r\n");
         }
-        if (!gone && busy) {
-          EXPECT_EQ(got.substr(0, 4), "BUSY");
+        if (!client_left && busy) {
+          EXPECT_EQ(received.substr(0, 4), "BUSY");
         }
-        if (!gone && !up && !busy) {
-          EXPECT_EQ(got, "ERR\r\n") << "it may have run";
+        if (!client_left && !up && !busy) {
+          EXPECT_EQ(received, "ERR\r\n") << "the request may have run";
         }
-        EXPECT_LE(std::count(got.begin(), got.end(), '\n'), up ? 2 : 1) << got;  // UP, and MOVE behind it
-        if (gone && a != "host RST" && b != "host RST") {
-          EXPECT_TRUE(harness.is_closed_by_peer(host)) << "its host hears of the end";
+        // After UP there may be a MOVE.
+        EXPECT_LE(std::count(received.begin(), received.end(), '\n'), up ? 2 : 1) << received;
+        if (client_left && a != "host RST" && b != "host RST") {
+          EXPECT_TRUE(harness.is_closed_by_peer(host)) << "the connection to the host is closed";
         }
       }
     }
   }
-  EXPECT_EQ(played, 72);
+  EXPECT_EQ(pairs, 72);
 }
--- a/tests/node/health_checker_test.cpp
+++ b/tests/node/health_checker_test.cpp
@@ -1,4 +1,4 @@
-// What a health check measures.
+// The latency that health checks report.
 #include "node/health_checker.h"
 
 #include <gtest/gtest.h>
@@ -8,15 +8,15 @@
 
 using namespace dapplewharf;
 
-TEST(HealthChecker, AnErrorAnswerGivesNoLatency) {
+TEST(HealthChecker, ErrorAnswerReportsNoLatency) {
   NodeHarness harness;
   Counters counters;
   Limits limits;
   limits.connect_time = 5000;
-  std::vector<TimePoint> answered;
+  std::vector<TimePoint> latencies;
   HealthChecker checker(
       harness.loop, counters, limits,
-      [&](const std::string&, const HealthCheckResult& probed) { answered.push_back(probed.latency); });
+      [&](const std::string&, const HealthCheckResult& result) { latencies.push_back(result.latency); });
   checker.check("h", NodeHarness::address_text(harness.endpoint_address));
   const int host = harness.accept_endpoint_connection();
   for (const char* answer : {"ERR\r\n", "PONG\r\n"}) {
@@ -26,7 +26,7 @@
     harness.run_for(5);
     checker.check("h", NodeHarness::address_text(harness.endpoint_address));
   }
-  ASSERT_EQ(answered.size(), 2u);
-  EXPECT_EQ(answered[0], 0);
-  EXPECT_GE(answered[1], 50);
+  ASSERT_EQ(latencies.size(), 2u);
+  EXPECT_EQ(latencies[0], 0);
+  EXPECT_GE(latencies[1], 50);
 }
--- a/tests/node/listener_test.cpp
+++ b/tests/node/listener_test.cpp
@@ -1,4 +1,4 @@
-// Accepting when descriptors are short.
+// Accepting clients when descriptors are short.
 #include "node/listener.h"
 
 #include <gtest/gtest.h>
--- a/tests/node/request_handler_test.cpp
+++ b/tests/node/request_handler_test.cpp
@@ -1,4 +1,4 @@
-// Requests on their way through the node, and adopted connections.
+// Stalled and adopted connections.
 #include <gtest/gtest.h>
 
 #include "node/request_line.h"
@@ -6,7 +6,7 @@
 
 using namespace dapplewharf;
 
-TEST(RequestHandler, MigratesAConnectionWhoseLinesStayUnanswered) {
+TEST(RequestHandler, ConnectionWhoseLinesStayUnansweredIsMigrated) {
   NodeHarness harness;
   const int client = harness.connect_client(request_line());
   harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
@@ -15,12 +15,12 @@
   EXPECT_EQ(harness.read(client, 6, 5000), "MOVE\r\n");
 }
 
-TEST(RequestHandler, AnAdoptedConnectionGoesToItsHostOrIsAnswered) {
+TEST(RequestHandler, AdoptedConnectionReconnectsToItsEndpointOrIsAnsweredErr) {
   NodeHarness harness;
-  const int known = harness.connect_client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n");
+  const int client = harness.connect_client("OPEN 1 2 c=plain,t=x,d=4294967,at=h2\r\n");
   const int host = harness.accept_endpoint_connection();
   EXPECT_EQ(harness.read(host).substr(0, 11), "OPEN 1 2 c=");
   harness.write(host, "UP x\r\n");
-  EXPECT_EQ(harness.read(known), "UP x\r\n");
+  EXPECT_EQ(harness.read(client), "UP x\r\n");
   EXPECT_EQ(harness.read(harness.connect_client("OPEN 3 2 c=plain,t=x,d=4294967,at=nobody\r\n")), "ERR\r\n");
 }
--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the watching mode: by itself on a whole day of events, and in a node on loopback sockets.
+// The shadow: fed with a long sequence of events, and in a node on loopback sockets.
 #include "node/shadow.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-PolicyAction typed(const FlatAction& flat) {
+PolicyAction from_flat(const FlatAction& flat) {
   switch (flat.kind) {
     case ActionKind::start_attempt:
       return StartAttempt{flat.id, flat.host, flat.time};
@@ -39,25 +39,25 @@
   return LogMessage{flat.text};
 }
 
-std::vector<PolicyAction> typed(const std::vector<FlatAction>& flat) {
+std::vector<PolicyAction> from_flat(const std::vector<FlatAction>& flat_actions) {
   std::vector<PolicyAction> actions;
-  for (const FlatAction& action : flat) {
-    actions.push_back(typed(action));
+  for (const FlatAction& action : flat_actions) {
+    actions.push_back(from_flat(action));
   }
   return actions;
 }
 
-// A fake fleet whose module is watched by a second one with settings of its own.
-struct Watched : LoadBalancerHarness {
+// A load balancer with a shadow that has other settings.
+struct ShadowHarness : LoadBalancerHarness {
   std::unique_ptr<Shadow> shadow;
-  std::string actions;  // all that the real module did, in words
+  std::string actions;  // all actions of the real load balancer as text
 
-  void begin(int hosts, const SettingsMap& others) {
-    shadow = std::make_unique<Shadow>(settings_from_map(others), 7, now);
+  void start_with_shadow(int endpoints, const SettingsMap& shadow_settings) {
+    shadow = std::make_unique<Shadow>(settings_from_map(shadow_settings), 7, now);
     load_balancer = std::make_unique<LoadBalancer>(settings_from_map(settings), 7, now);
     FlatEvent list;
     list.kind = EventKind::endpoints_cached;
-    for (int i = 0; i < hosts; ++i) {
+    for (int i = 0; i < endpoints; ++i) {
       list.entries.push_back(endpoint_entry("h" + std::to_string(i)));
     }
     send_event(list);
@@ -65,7 +65,7 @@
   const std::vector<FlatAction>& send_event(const FlatEvent& event) override {
     LoadBalancerHarness::send_event(event);
     if (shadow) {
-      shadow->follow(now, {from_flat(event)}, typed(last_actions));
+      shadow->observe(now, {from_flat(event)}, from_flat(last_actions));
     }
     for (const FlatAction& action : last_actions) {
       actions += std::to_string(static_cast<int>(action.kind)) + " " + action.id + " " + action.host + " " +
@@ -73,7 +73,7 @@
     }
     return last_actions;
   }
-  FlatEvent of(EventKind kind, const std::string& id) {
+  FlatEvent event_of(EventKind kind, const std::string& id) {
     FlatEvent event;
     event.kind = kind;
     event.id = id;
@@ -82,42 +82,43 @@
     return event;
   }
 
-  // Set-ups that stand, fail, are turned away; a host that drains; a late one; clients that leave.
-  void day() {
+  // 120 requests, some of which are rejected, completed or abandoned by their client. One endpoint drains,
+  // and some report a high latency.
+  void run_long_scenario() {
     for (int i = 0; i < 120; ++i) {
       now += 2000;
-      FlatEvent alarm;
-      alarm.number = 1;
-      send_event(alarm);
+      FlatEvent timer;
+      timer.number = 1;
+      send_event(timer);
       answer_health_checks();
       const std::string id = "a" + std::to_string(i);
-      FlatEvent wish = request_from_tenant("");
-      wish.id = id;
-      wish.client_key = i;
-      wish.affinity_group = i % 7;
-      send_event(wish);
+      FlatEvent request = request_from_tenant("");
+      request.id = id;
+      request.client_key = i;
+      request.affinity_group = i % 7;
+      send_event(request);
       if (i % 5 == 1 && !attempts[id].empty()) {
-        FlatEvent bad = of(EventKind::attempt_ended, id);
-        bad.outcome = Outcome::rejected;
-        send_event(bad);
+        FlatEvent rejected = event_of(EventKind::attempt_ended, id);
+        rejected.outcome = Outcome::rejected;
+        send_event(rejected);
       }
       if (attempts[id].empty()) {
         continue;
       }
       if (i % 11 == 3) {
-        send_event(of(EventKind::client_disconnected, id));
-        FlatEvent gone = of(EventKind::attempt_ended, id);
-        gone.outcome = Outcome::cancelled, gone.final = true;
-        send_event(gone);
+        send_event(event_of(EventKind::client_disconnected, id));
+        FlatEvent cancelled = event_of(EventKind::attempt_ended, id);
+        cancelled.outcome = Outcome::cancelled, cancelled.final = true;
+        send_event(cancelled);
         continue;
       }
-      FlatEvent up = of(EventKind::attempt_established, id);
-      up.duration = 100;
-      send_event(up);
+      FlatEvent established = event_of(EventKind::attempt_established, id);
+      established.duration = 100;
+      send_event(established);
       if (i % 3 == 0) {
-        FlatEvent over = of(EventKind::attempt_ended, id);
-        over.final = true;
-        send_event(over);
+        FlatEvent completed = event_of(EventKind::attempt_ended, id);
+        completed.final = true;
+        send_event(completed);
       }
       if (i == 60) {
         FlatEvent change;
@@ -127,101 +128,107 @@
         send_event(change);
       }
       if (i >= 80 && i < 84) {
-        FlatEvent late = of(EventKind::latency_reported, id);
-        late.figure = 600;
-        send_event(late);
+        FlatEvent high_latency = event_of(EventKind::latency_reported, id);
+        high_latency.figure = 600;
+        send_event(high_latency);
       }
-      for (const std::string& one : std::exchange(migrated, {})) {
-        FlatEvent end = of(EventKind::attempt_ended, one);
+      for (const std::string& migrated_id : std::exchange(migrated, {})) {
+        FlatEvent end = event_of(EventKind::attempt_ended, migrated_id);
         end.outcome = Outcome::cancelled, end.final = true;
         send_event(end);
       }
     }
   }
-  std::uint64_t differences() const {
+  std::uint64_t difference_count() const {
     const ShadowCounts& counts = shadow->counts();
     return counts.other_endpoint + counts.would_reject + counts.would_attempt + counts.would_wait +
            counts.would_migrate + counts.would_stay;
   }
 };
 
-struct File {
+// A file that exists for as long as this object.
+struct TemporaryFile {
   std::string path;
-  File(const std::string& name, const std::string& text) : path(name) { std::ofstream(path) << text; }
-  ~File() { std::remove(path.c_str()); }
+  TemporaryFile(const std::string& name, const std::string& text) : path(name) {
+    std::ofstream(path) << text;
+  }
+  ~TemporaryFile() { std::remove(path.c_str()); }
 };
 
 }  // namespace
 
-TEST(Shadow, TheSameSettingsDecideTheSameOverAWholeDay) {
-  Watched fleet;
-  fleet.begin(6, fleet.settings);
-  fleet.day();
-  EXPECT_FALSE(fleet.shadow->stopped()) << fleet.shadow->error();
-  EXPECT_EQ(fleet.differences(), 0u) << fleet.shadow->counts().format();
-  EXPECT_GT(fleet.shadow->counts().same, 100u);
-  EXPECT_EQ(fleet.shadow->counts().health_checks, fleet.shadow->counts().real_health_checks);
-  EXPECT_LT(fleet.shadow->followed(), 90u) << "what has ended is forgotten";
+TEST(Shadow, EqualSettingsMakeEqualDecisions) {
+  ShadowHarness harness;
+  harness.start_with_shadow(6, harness.settings);
+  harness.run_long_scenario();
+  EXPECT_FALSE(harness.shadow->stopped()) << harness.shadow->error();
+  EXPECT_EQ(harness.difference_count(), 0u) << harness.shadow->counts().format();
+  EXPECT_GT(harness.shadow->counts().same, 100u);
+  EXPECT_EQ(harness.shadow->counts().health_checks, harness.shadow->counts().real_health_checks);
+  EXPECT_LT(harness.shadow->tracked_count(), 90u) << "ended requests are no longer tracked";
 }
 
-TEST(Shadow, OtherSettingsAreCountedByKindAndChangeNothing) {
-  Watched alone;
-  alone.begin(6, alone.settings);
-  alone.day();
+TEST(Shadow, DifferentDecisionsAreCountedByKindAndDoNotAffectTheRealOnes) {
+  ShadowHarness reference;
+  reference.start_with_shadow(6, reference.settings);
+  reference.run_long_scenario();
   struct Case {
     const char* setting;
     std::variant<double, std::string> value;
     std::uint64_t ShadowCounts::*kind;
   };
-  for (const Case& one : {Case{"max_tries", 1.0, &ShadowCounts::would_reject},
-                          Case{"message_goal.0", 5000.0, &ShadowCounts::would_stay},
-                          Case{"zone", std::string("far"), nullptr}, Case{"report.load", 0.0, nullptr}}) {
-    Watched fleet;
-    SettingsMap others = fleet.settings;
-    others[one.setting] = one.value;
-    fleet.begin(6, others);
-    fleet.day();
-    EXPECT_FALSE(fleet.shadow->stopped()) << fleet.shadow->error();
-    EXPECT_EQ(fleet.actions, alone.actions) << one.setting;
-    if (one.kind) {
-      EXPECT_GT(fleet.shadow->counts().*one.kind, 0u) << one.setting << fleet.shadow->counts().format();
+  for (const Case& test_case :
+       {Case{"max_tries", 1.0, &ShadowCounts::would_reject},
+        Case{"message_goal.0", 5000.0, &ShadowCounts::would_stay}, Case{"zone", std::string("far"), nullptr},
+        Case{"report.load", 0.0, nullptr}}) {
+    ShadowHarness harness;
+    SettingsMap shadow_settings = harness.settings;
+    shadow_settings[test_case.setting] = test_case.value;
+    harness.start_with_shadow(6, shadow_settings);
+    harness.run_long_scenario();
+    EXPECT_FALSE(harness.shadow->stopped()) << harness.shadow->error();
+    EXPECT_EQ(harness.actions, reference.actions) << test_case.setting;
+    if (test_case.kind) {
+      EXPECT_GT(harness.shadow->counts().*test_case.kind, 0u)
+          << test_case.setting << harness.shadow->counts().format();
     }
-    EXPECT_LT(fleet.shadow->followed(), 90u);
+    EXPECT_LT(harness.shadow->tracked_count(), 90u);
   }
-  // The other way round: the real one tries once, the other settings would try again.
-  Watched strict;
-  const SettingsMap others = strict.settings;
+  // The reverse: the real settings allow one attempt, the shadowed settings several.
+  ShadowHarness strict;
+  const SettingsMap shadow_settings = strict.settings;
   strict.settings["max_tries"] = 1.0;
-  strict.begin(6, others);
-  strict.day();
+  strict.start_with_shadow(6, shadow_settings);
+  strict.run_long_scenario();
   EXPECT_GT(strict.shadow->counts().would_attempt, 10u) << strict.shadow->counts().format();
   EXPECT_EQ(strict.shadow->counts().would_reject, 0u);
 }
 
-TEST(Shadow, WeightsThatMoveAreReadByTheNewShapeOnly) {
-  Watched fleet;
-  SettingsMap others = fleet.settings;
-  others["weights"] = std::string("live");
-  fleet.settings["nodes"] = others["nodes"] = 30.0;
-  fleet.begin(6, others);
-  fleet.day();
-  const std::uint64_t before =
-      fleet.shadow->counts().other_endpoint;  // a weight at its largest tells of nothing held
+TEST(Shadow, ChangedWeightsAffectOnlyTheSettingsWithLiveWeights) {
+  ShadowHarness harness;
+  SettingsMap shadow_settings = harness.settings;
+  shadow_settings["weights"] = std::string("live");
+  harness.settings["nodes"] = shadow_settings["nodes"] = 30.0;
+  harness.start_with_shadow(6, shadow_settings);
+  harness.run_long_scenario();
+  // With live weights, the largest weight says that an endpoint holds no connections.
+  const std::uint64_t other_endpoint_before = harness.shadow->counts().other_endpoint;
   FlatEvent change;
   change.kind = EventKind::endpoints_update;
   for (int i = 0; i < 6; ++i) {
     change.entries.push_back(LoadBalancerHarness::endpoint_entry("h" + std::to_string(i)));
     change.entries.back().size = i < 3 ? 0.02 : 0.5;
   }
-  fleet.send_event(change);
-  fleet.day();
-  EXPECT_GT(fleet.shadow->counts().other_endpoint, before + 10) << fleet.shadow->counts().format();
+  harness.send_event(change);
+  harness.run_long_scenario();
+  EXPECT_GT(harness.shadow->counts().other_endpoint, other_endpoint_before + 10)
+      << harness.shadow->counts().format();
 }
 
-TEST(Shadow, ANodeServesAsWithoutItAndCounts) {
+TEST(Shadow, NodeWithAShadowServesUnchangedAndCountsDifferences) {
   NodeHarness harness(1024, true, [](Configuration& to) {
-    to.shadow = to.env;
-    (*to.shadow)["bounds"]["maxAttempts"] = 1;
+    to.shadow_settings = to.settings;
+    (*to.shadow_settings)["bounds"]["maxAttempts"] = 1;
   });
   const int client = harness.connect_client(request_line());
   for (int i = 0; i < 3; ++i) {
@@ -234,65 +241,70 @@
   harness.write(host, "UP x\r\n");
   EXPECT_EQ(harness.read(client), "UP x\r\n");
   ASSERT_TRUE(harness.node->shadow());
-  EXPECT_EQ(harness.node->shadow()->counts().same, 1u) << "the first try";
-  EXPECT_EQ(harness.node->shadow()->counts().would_reject, 1u) << "the second";
-  // A reload changes what is watched, or ends it; to begin takes a restart.
-  harness.configuration.shadow = harness.configuration.env;
+  EXPECT_EQ(harness.node->shadow()->counts().same, 1u) << "the first attempt";
+  EXPECT_EQ(harness.node->shadow()->counts().would_reject, 1u) << "the second attempt";
+  // A reload can change or remove the shadowed settings, but starting a shadow requires a restart.
+  harness.configuration.shadow_settings = harness.configuration.settings;
   harness.node->reload({harness.configuration, ""});
   EXPECT_TRUE(harness.node->shadow());
-  harness.configuration.shadow.reset();
+  harness.configuration.shadow_settings.reset();
   harness.node->reload({harness.configuration, ""});
   EXPECT_FALSE(harness.node->shadow());
-  harness.configuration.shadow = harness.configuration.env;
+  harness.configuration.shadow_settings = harness.configuration.settings;
   harness.node->reload({harness.configuration, ""});
   EXPECT_FALSE(harness.node->shadow());
   harness.write(client, "still here\r\n");
   EXPECT_EQ(harness.read(host), "still here\r\n");
 }
 
-TEST(Shadow, AFileThatIsMissingOrWrongIsNamedWithItsPlace) {
-  const nlohmann::json env = NodeHarness().configuration.env;
-  const std::string sound =
+TEST(Shadow, MissingOrInvalidFileIsReportedWithItsPosition) {
+  const nlohmann::json settings = NodeHarness().configuration.settings;
+  const std::string valid =
       R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"a1","settings":)" +
-      env.dump() + "}";
-  const File main("shadow-main.json", sound);
-  const auto reads = [&](const std::string& path) {
-    return read_configuration(Files{main.path, "", "", path}, Source::file_only);
+      settings.dump() + "}";
+  const TemporaryFile main("shadow-main.json", valid);
+  const auto read_with_shadow = [&](const std::string& path) {
+    return read_configuration(ConfigurationFiles{main.path, "", "", path}, ConfigurationSource::file_only);
   };
-  EXPECT_FALSE(reads("").taken->shadow);
-  EXPECT_NE(reads("no-such-file.json").fault.find("no-such-file.json:0:0: "), std::string::npos);
-  const File good("shadow-good.json", sound);
-  EXPECT_TRUE(reads(good.path).taken->shadow);
-  const File half("shadow-half.json", "{\n  \"settings\": {,}\n}");
-  EXPECT_EQ(reads(half.path).fault,
-            "shadow-half.json:2:16: this is no JSON; expected an object with 'settings'");
-  const File none("shadow-none.json", "{}");
-  EXPECT_NE(reads(none.path).fault.find("expected an object of that name"), std::string::npos);
-  nlohmann::json odd = nlohmann::json::parse(sound);
-  odd["settings"]["weights"] = "lively";
-  const File weights("shadow-weights.json", odd.dump(2));
-  EXPECT_NE(
-      reads(weights.path).fault.find("'weights' is \"lively\"; expected silent, nominal, rough or live"),
-      std::string::npos);
-  EXPECT_NE(reads(weights.path).fault.find("shadow-weights.json:"), std::string::npos);
-  odd["settings"]["weights"] = "live", odd["settings"]["charges"]["probe"] = "dear";
-  const File price("shadow-price.json", odd.dump(2));
-  EXPECT_NE(reads(price.path).fault.find("'probe' is \"dear\"; expected a number"), std::string::npos);
-  odd["settings"].erase("charges"), odd["settings"]["guarantees"].erase("coldFrom");
-  const File rule("shadow-rule.json", odd.dump(2));
-  EXPECT_NE(reads(rule.path).fault.find("cold_from"), std::string::npos) << reads(rule.path).fault;
+  EXPECT_FALSE(read_with_shadow("").configuration->shadow_settings);
+  EXPECT_NE(read_with_shadow("no-such-file.json").error.find("no-such-file.json:0:0: "), std::string::npos);
+  const TemporaryFile good("shadow-good.json", valid);
+  EXPECT_TRUE(read_with_shadow(good.path).configuration->shadow_settings);
+  const TemporaryFile invalid_json("shadow-invalid-json.json", "{\n  \"settings\": {,}\n}");
+  EXPECT_EQ(read_with_shadow(invalid_json.path).error,
+            "shadow-invalid-json.json:2:16: this is no JSON; expected an object with 'settings'");
+  const TemporaryFile no_settings("shadow-no-settings.json", "{}");
+  EXPECT_NE(read_with_shadow(no_settings.path).error.find("expected an object of that name"),
+            std::string::npos);
+  nlohmann::json invalid = nlohmann::json::parse(valid);
+  invalid["settings"]["weights"] = "lively";
+  const TemporaryFile weights("shadow-weights.json", invalid.dump(2));
+  EXPECT_NE(read_with_shadow(weights.path)
+                .error.find("'weights' is \"lively\"; expected silent, nominal, rough or live"),
+            std::string::npos);
+  EXPECT_NE(read_with_shadow(weights.path).error.find("shadow-weights.json:"), std::string::npos);
+  invalid["settings"]["weights"] = "live", invalid["settings"]["charges"]["probe"] = "dear";
+  const TemporaryFile price("shadow-price.json", invalid.dump(2));
+  EXPECT_NE(read_with_shadow(price.path).error.find("'probe' is \"dear\"; expected a number"),
+            std::string::npos);
+  invalid["settings"].erase("charges"), invalid["settings"]["guarantees"].erase("coldFrom");
+  const TemporaryFile missing_rule("shadow-missing-rule.json", invalid.dump(2));
+  EXPECT_NE(read_with_shadow(missing_rule.path).error.find("cold_from"), std::string::npos)
+      << read_with_shadow(missing_rule.path).error;
   std::ifstream example(std::string(EXAMPLES) + "/shapes/core-log.dw");
   std::string text((std::istreambuf_iterator<char>(example)), std::istreambuf_iterator<char>());
   ASSERT_NE(text.find("weights = live"), std::string::npos);
-  const File core("shadow-core.dw", text);
-  ASSERT_TRUE(reads(core.path).taken) << reads(core.path).fault;
-  EXPECT_EQ((*reads(core.path).taken->shadow)["weights"], "live");
+  const TemporaryFile example_file("shadow-core.dw", text);
+  ASSERT_TRUE(read_with_shadow(example_file.path).configuration) << read_with_shadow(example_file.path).error;
+  EXPECT_EQ((*read_with_shadow(example_file.path).configuration->shadow_settings)["weights"], "live");
   text.replace(text.find("weights = live"), 14, "weights = lively");
-  const File words("shadow-words.dw", text);
-  EXPECT_NE(reads(words.path).fault.find("silent, nominal, rough, live"), std::string::npos)
-      << reads(words.path).fault;
-  const File operators("shadow-operators.dw", "shadow {\n  settings = \"shadow-good.json\"\n}\n");
-  const Read read = read_configuration(Files{main.path, "", operators.path, ""}, Source::file_only);
-  ASSERT_TRUE(read.taken) << read.fault;
-  EXPECT_TRUE(read.taken->shadow);
+  const TemporaryFile invalid_weights("shadow-invalid-weights.dw", text);
+  EXPECT_NE(read_with_shadow(invalid_weights.path).error.find("silent, nominal, rough, live"),
+            std::string::npos)
+      << read_with_shadow(invalid_weights.path).error;
+  const TemporaryFile operators("shadow-operators.dw", "shadow {\n  settings = \"shadow-good.json\"\n}\n");
+  const ConfigurationResult result = read_configuration(ConfigurationFiles{main.path, "", operators.path, ""},
+                                                        ConfigurationSource::file_only);
+  ASSERT_TRUE(result.configuration) << result.error;
+  EXPECT_TRUE(result.configuration->shadow_settings);
 }
--- a/tests/node/upstream_attempt_test.cpp
+++ b/tests/node/upstream_attempt_test.cpp
@@ -1,4 +1,4 @@
-// Attempts that are rejected, answered with nonsense or left by their client.
+// Attempts that are rejected, answered with malformed lines or abandoned by their client.
 #include <gtest/gtest.h>
 
 #include "node/request_line.h"
@@ -6,7 +6,7 @@
 
 using namespace dapplewharf;
 
-TEST(UpstreamAttempt, IsRetriedWhenRejectedAndTheLastIsAnsweredBusyAtOnce) {
+TEST(UpstreamAttempt, RejectedAttemptsAreRetriedAndTheLastRejectionIsAnsweredBusy) {
   NodeHarness harness;
   const int client = harness.connect_client(request_line());
   for (int i = 0; i < 4; ++i) {
@@ -18,21 +18,21 @@
   EXPECT_TRUE(harness.is_closed_by_peer(client));
 }
 
-TEST(UpstreamAttempt, AMalformedAnswerCostsOnlyItsAttempt) {
+TEST(UpstreamAttempt, MalformedAnswerEndsTheAttemptAndTheRequestIsRetried) {
   NodeHarness harness;
   const int client = harness.connect_client(request_line());
-  for (const std::string& nonsense :
+  for (const std::string& malformed :
        {std::string("HTTP/1.1 400 Bad\r\n"), std::string(9000, 'x'), std::string("UP no e")}) {
     const int host = harness.accept_endpoint_connection();
     harness.read(host);
-    harness.write(host, nonsense);
+    harness.write(host, malformed);
     harness.shut_down_writing(host);
   }
-  harness.write(harness.accept_endpoint_connection(), "UP fine\r\n");
-  EXPECT_EQ(harness.read(client), "UP fine\r\n");
+  harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
+  EXPECT_EQ(harness.read(client), "UP x\r\n");
 }
 
-TEST(UpstreamAttempt, EndsWhenItsClientLeaves) {
+TEST(UpstreamAttempt, EndsWhenItsClientDisconnects) {
   NodeHarness harness;
   const int client = harness.connect_client(request_line());
   const int host = harness.accept_endpoint_connection();
--- a/tests/policy/backoff_test.cpp
+++ b/tests/policy/backoff_test.cpp
@@ -77,8 +77,8 @@
   const std::string busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
   for (const char* how : {"refused", "reset", "busy", "silent"}) {
     NodeHarness harness(1024, true, [](Configuration& to) {
-      to.env["peersTotal"] = 350;
-      to.env["guarantees"]["askWithinMs"] = 10000;
+      to.settings["peersTotal"] = 350;
+      to.settings["guarantees"]["askWithinMs"] = 10000;
     });
     const std::string word = how;
     const sockaddr_in there = harness.discovery_address;
--- a/tests/policy/reconnect_policy_test.cpp
+++ b/tests/policy/reconnect_policy_test.cpp
@@ -135,7 +135,7 @@
 TEST(ReconnectPolicy, WhatMayHaveRunIsNotSentAgainAndIsAnsweredAtOnce) {
   const Cleared cleared;
   NodeHarness harness(1024, true,
-                      [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
+                      [](Configuration& to) { to.settings["lanes"][0]["semantics"] = "at_most_once"; });
   const int client = harness.connect_client(line_at("h2"));
   const int host = host_with_line(harness);
   const TimePoint reset_at = harness.loop.now();
@@ -160,11 +160,12 @@
     harness.endpoint_listener.close();
     const int client = harness.connect_client(line_at("h2"));
     harness.run_for(100);
-    harness.node->stop();
+    harness.node->begin_shutdown();
     const std::string told = harness.read(client, 4, 4000);
     EXPECT_TRUE(told == "MOVE\r\n" || told == "ERR\r\n") << told;
     harness.shut_down_writing(client);
-    EXPECT_TRUE(harness.run_until([&] { return harness.node->done(); }, 4000)) << "nothing is held for good";
+    EXPECT_TRUE(harness.run_until([&] { return harness.node->may_exit(); }, 4000))
+        << "nothing is held for good";
   }
 }
 
@@ -178,7 +179,7 @@
 TEST(ReconnectPolicy, AHostsBusySaysThatAnUnrepeatableOneHasNeverRun) {
   const Cleared cleared;
   NodeHarness harness(1024, true,
-                      [](Configuration& to) { to.env["lanes"][0]["semantics"] = "at_most_once"; });
+                      [](Configuration& to) { to.settings["lanes"][0]["semantics"] = "at_most_once"; });
   const int client = harness.connect_client(line_at("h1"));
   harness.write(host_with_line(harness), "BUSY\r\n");
   comes_up(harness, client);
@@ -222,7 +223,7 @@
 TEST(Accepting, AClientAtTheDoorIsAnsweredThoughAcceptFailsAsTheNodeEnds) {
   const Cleared cleared;
   NodeHarness harness;
-  harness.node->stop();
+  harness.node->begin_shutdown();
   harness.run_for(900);
   faults::inject({Call::accept4, ENFILE, 1, 0, kMomentMs, ntohs(harness.node_address.sin_port)});
   Socket dialled;
@@ -232,7 +233,7 @@
   const std::string line = "OPEN 7d1 2e c=plain,t=x,d=2000\r\n";
   dialled.send(line.data(), line.size());
   const int client = harness.keep_socket(std::move(dialled));
-  EXPECT_FALSE(harness.run_until([&] { return harness.node->done(); }, kMomentMs - 50))
+  EXPECT_FALSE(harness.run_until([&] { return harness.node->may_exit(); }, kMomentMs - 50))
       << "somebody is at the door";
   const int host = host_with_line(harness);
   harness.write(host, "BUSY\r\n");
--- a/tests/support/fixtures.h
+++ b/tests/support/fixtures.h
@@ -244,9 +244,9 @@
     }
     to.listen = address_text(node_address);
     if (knows_a_list) {
-      to.known = {{"generation", 1}, {"reset", true}, {"instances", list}};
+      to.cached_endpoint_list = {{"generation", 1}, {"reset", true}, {"instances", list}};
     }
-    to.env = nlohmann::json::parse(R"({"peersTotal": 1, "zone": "near", "discovery": "on_request",
+    to.settings = nlohmann::json::parse(R"({"peersTotal": 1, "zone": "near", "discovery": "on_request",
       "guarantees": {"coldFrom": 0.3, "coldMs": 8000, "fallMs": 2000, "fallMultiple": 2.5, "stopSendingWithinMs": 1000},
       "bounds": {"maxAttempts": 4, "maxRetryAfterMs": 1500, "retryAfter": true, "probes": false, "dialTimeoutMs": 250},
       "extra": {"messageAimMs": [50]}, "lanes": [{"name": "plain", "semantics": "idempotent", "group": "all",
@@ -269,7 +269,7 @@
 
   void run_once() {
     loop.run_once(50);
-    node->settle();
+    node->process_events();
     if (!discovery_connection) {
       discovery_connection =
           Socket(accept4(discovery_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
