--- a/src/node/client_admission.cpp
+++ b/src/node/client_admission.cpp
@@ -6,21 +6,21 @@
 namespace dapplewharf {
 namespace {
 
-constexpr int kSilentClientShare = 8;              // silent clients may hold one in eight of the descriptors
-constexpr Duration kRequestLineDelay = 200 * kMs;  // until an ordinary client's request line has arrived
-constexpr int kPingsPerTurn = 4;                   // of one client; more are treated as a malformed request
+constexpr int kSilentClientShare = 8;  // silent clients may hold one in eight of the descriptors
+constexpr Duration kMaxRequestLineDelay = 200 * kMs;  // until an ordinary client's request line has arrived
+constexpr int kPingsPerTurn = 4;  // of one client; more are treated as a malformed request
 constexpr std::size_t kMaxClosedIds = 4096;
 
 }  // namespace
 
 ClientMessage ClientAdmission::next_message(std::string& prefix, int pings) {
   const std::size_t end = prefix.find('\n');
-  const bool complete = end != std::string::npos;
-  const bool too_long = complete ? end >= kLongestLine : prefix.size() >= kLongestLine;
-  if (too_long) {
+  const bool is_complete = end != std::string::npos;
+  const bool is_too_long = is_complete ? end >= kLongestLine : prefix.size() >= kLongestLine;
+  if (is_too_long) {
     return MalformedRequest{"line too long"};
   }
-  if (!complete) {
+  if (!is_complete) {
     return IncompleteLine{};
   }
   const std::string line = prefix.substr(0, end + 1);
@@ -74,7 +74,7 @@
   if (silent_.size() < static_cast<std::size_t>(limits_.descriptors / kSilentClientShare)) {
     return false;
   }
-  return now - silent_.front().since >= kRequestLineDelay;
+  return now - silent_.front().since >= kMaxRequestLineDelay;
 }
 
 }  // namespace dapplewharf
--- a/src/node/configuration.cpp
+++ b/src/node/configuration.cpp
@@ -36,8 +36,8 @@
   return from[name].get<std::string>();
 }
 
-// A file that could not be read, perhaps only for now: it may be being replaced, or the system may lack
-// resources.
+// A file could not be read. A later attempt may succeed: the file may be in the middle of being replaced, or
+// the system may lack resources.
 struct Unreadable : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -56,7 +56,7 @@
   }
   json from = json::parse(text, nullptr, false);
   if (!from.is_object()) {
-    throw std::runtime_error("PROXY_CONFIG is no JSON object: " + path);
+    throw std::runtime_error("PROXY_CONFIG is not a JSON object: " + path);
   }
   return from;
 }
@@ -167,7 +167,7 @@
       const auto line = 1 + std::count(before.begin(), before.end(), '\n');
       throw std::runtime_error(path + ":" + std::to_string(line) + ":" +
                                std::to_string(before.size() - (before.rfind('\n') + 1) + 1) +
-                               ": this is no JSON; expected an object with 'settings'");
+                               ": this is not JSON; expected an object with 'settings'");
     }
     check_settings(from, path);
   }
@@ -207,7 +207,7 @@
 double parse_limit(const json& from, const std::string& name, double min_value, double default_value) {
   const json value = from.value(json::json_pointer("/limits/" + name), json(default_value));
   if (!value.is_number() || value.get<double>() < min_value || value.get<double>() > kMaxLimit) {
-    throw std::runtime_error("'limits." + name + "' is no number or too small to serve");
+    throw std::runtime_error("'limits." + name + "' is not a number or out of range");
   }
   return value.get<double>();
 }
@@ -235,10 +235,10 @@
   to.listen = read_required_text(from, source, "PROXY_LISTEN", "listen");
   to.discovery = read_required_text(from, source, "PROXY_DISCOVERY", "discovery");
   if (!parse_address(to.listen)) {
-    throw std::runtime_error("'listen' is no address: " + to.listen);
+    throw std::runtime_error("'listen' is not an address: " + to.listen);
   }
   if (!parse_address(to.discovery)) {
-    throw std::runtime_error("'discovery' is no address: " + to.discovery);
+    throw std::runtime_error("'discovery' is not an address: " + to.discovery);
   }
   if (!from.contains("settings") || !from["settings"].is_object()) {
     throw std::runtime_error("the configuration has no 'settings'");
--- a/src/node/connection_table.cpp
+++ b/src/node/connection_table.cpp
@@ -112,8 +112,8 @@
   const auto received = connection.client.socket.receive(prefix, 2 * kLongestLine - prefix.size(), closed);
   const bool is_awaiting_request = connection.phase == Phase::awaiting_request;
   if (!received || closed) {
-    return is_awaiting_request ? on_silent_client_closed(handle, connection, !received)
-                               : on_waiting_client_gone(handle, connection, !received);
+    return is_awaiting_request ? on_client_closed_before_request(handle, connection, !received)
+                               : on_client_closed_before_answer(handle, connection, !received);
   }
   if (is_awaiting_request) {
     return read_client_messages(handle, connection);
@@ -128,8 +128,9 @@
   reject_malformed(handle, connection, "data before the answer");
 }
 
-void ConnectionTable::on_silent_client_closed(Handle handle, ProxiedConnection& connection, bool broken) {
-  if (connection.client_prefix.empty() || broken) {
+void ConnectionTable::on_client_closed_before_request(Handle handle, ProxiedConnection& connection,
+                                                      bool is_broken) {
+  if (connection.client_prefix.empty() || is_broken) {
     return close_connection(handle);
   }
   reject_malformed(handle, connection, "incomplete line");
@@ -137,11 +138,12 @@
 
 // The client has disconnected, or has only closed its sending side; in case it still reads, it is answered
 // ERR.
-void ConnectionTable::on_waiting_client_gone(Handle handle, ProxiedConnection& connection, bool broken) {
+void ConnectionTable::on_client_closed_before_answer(Handle handle, ProxiedConnection& connection,
+                                                     bool is_broken) {
   ++counters_.clients_left;
   observer_.on_client_left(handle);
   attempts_.end(handle, connection, TerminationReason::client_gone);
-  if (broken) {
+  if (is_broken) {
     close_connection(handle);
   } else {
     begin_closing(handle, connection, "ERR\r\n");
--- a/src/node/connection_table.h
+++ b/src/node/connection_table.h
@@ -101,8 +101,8 @@
   void read_client_messages(Handle handle, ProxiedConnection& connection);
   void answer_ping(Handle handle, ProxiedConnection& connection);
   void open_request(Handle handle, ProxiedConnection& connection, RequestLine request);
-  void on_silent_client_closed(Handle handle, ProxiedConnection& connection, bool broken);
-  void on_waiting_client_gone(Handle handle, ProxiedConnection& connection, bool broken);
+  void on_client_closed_before_request(Handle handle, ProxiedConnection& connection, bool is_broken);
+  void on_client_closed_before_answer(Handle handle, ProxiedConnection& connection, bool is_broken);
   void start_request_line_deadline(Handle handle, ProxiedConnection& connection, Duration timeout);
   void reject_malformed(Handle handle, ProxiedConnection& connection, const std::string& reason);
   void begin_closing(Handle handle, ProxiedConnection& connection, const std::string& last_line);
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -118,14 +118,14 @@
   address_ = address;
   close();
   loop_.cancel(deadline_);
-  call_in_progress_ = false;
+  is_call_in_progress_ = false;
   needs_complete_list_ = true;
   deemed_notified_at_ = loop_.now() + kDeemedNotifiedAfterAddressChange;
   fetch();
 }
 
 void EndpointDiscovery::call_next() {
-  if (call_in_progress_) {
+  if (is_call_in_progress_) {
     return;
   }
   if (is_fetching_ || (is_watching_ && needs_complete_list_)) {
@@ -142,7 +142,7 @@
   const Duration watch_timeout =
       kWatchWait + (last_watch_timed_out_ ? kWatchTimeoutAfterTimeout : kWatchTimeout);
   const Duration timeout = is_watch ? watch_timeout : Backoff::kPatience;
-  call_in_progress_ = true;
+  is_call_in_progress_ = true;
   ++counters_.endpoint_list_calls;
   spdlog::debug("endpoint_list_called target={}", target);
   request_ = format_get_request(address_, target);
@@ -161,13 +161,13 @@
   if (!socket_) {
     return connect();
   }
-  loop_.update_interest(watch_handle_, POLLIN | POLLOUT);
+  loop_.update_interest(socket_watch_, POLLIN | POLLOUT);
   on_ready();
 }
 
 void EndpointDiscovery::connect() {
   const auto address = parse_address(address_);
-  connected_ = false;
+  is_connected_ = false;
   sent_ = 0;
   received_.clear();
   if (!address || start_connecting(*address, limits_.descriptors, kReservedFromDiscovery, socket_) !=
@@ -175,27 +175,27 @@
     // Reported asynchronously, so that the caller is not called back while it is still executing.
     return loop_.schedule(deadline_, loop_.now(), [this] { on_broken(false); });
   }
-  watch_handle_ = loop_.watch(socket_.descriptor(), POLLOUT, [this](short) { on_ready(); });
+  socket_watch_ = loop_.watch(socket_.descriptor(), POLLOUT, [this](short) { on_ready(); });
 }
 
 void EndpointDiscovery::on_ready() {
-  if (!connected_) {
+  if (!is_connected_) {
     if (!socket_.is_connected()) {
       return on_broken(false);
     }
-    connected_ = true;
+    is_connected_ = true;
   }
   if (!send_request()) {
     return on_broken(is_reused_connection_);
   }
-  const bool sending = call_in_progress_ && sent_ < request_.size();
-  loop_.update_interest(watch_handle_, sending ? POLLIN | POLLOUT : POLLIN);
+  const bool is_sending = is_call_in_progress_ && sent_ < request_.size();
+  loop_.update_interest(socket_watch_, is_sending ? POLLIN | POLLOUT : POLLIN);
   receive_answer();
 }
 
 // Returns false if the connection is broken.
 bool EndpointDiscovery::send_request() {
-  if (!call_in_progress_ || sent_ >= request_.size()) {
+  if (!is_call_in_progress_ || sent_ >= request_.size()) {
     return true;
   }
   const auto sent = socket_.send(request_.data() + sent_, request_.size() - sent_);
@@ -209,7 +209,7 @@
   if (!received) {
     return on_broken(is_reused_connection_ && received_.empty());
   }
-  if (!call_in_progress_) {
+  if (!is_call_in_progress_) {
     if (closed || *received > 0) {
       close();  // unexpected data, or closed by discovery
     }
@@ -241,7 +241,7 @@
     spdlog::warn("endpoint_list_unusable error=\"{}\"", error.what());
     return on_broken(false);
   }
-  call_in_progress_ = false;
+  is_call_in_progress_ = false;
   loop_.cancel(deadline_);
   if (closes) {
     close();
@@ -284,7 +284,7 @@
   spdlog::warn("endpoint_list_call_lost duration_ms={}", (loop_.now() - called_at_) / kMs);
   close();
   loop_.cancel(deadline_);
-  call_in_progress_ = false;
+  is_call_in_progress_ = false;
   ++counters_.endpoint_list_calls_lost;
   // The call is repeated until this node is deemed notified of the changes it may have missed, immediately if
   // a watch timed out: meanwhile the node may send to a draining endpoint. The delay is random because the
@@ -301,9 +301,9 @@
 }
 
 void EndpointDiscovery::close() {
-  loop_.unwatch(watch_handle_);
+  loop_.unwatch(socket_watch_);
   socket_.close();
-  connected_ = false;
+  is_connected_ = false;
 }
 
 }  // namespace dapplewharf
--- a/src/node/endpoint_discovery.h
+++ b/src/node/endpoint_discovery.h
@@ -93,7 +93,7 @@
   bool is_watching_ = false;         // watching is requested; there may be no call in progress
   bool is_fetching_ = false;         // the complete list is requested
   bool needs_complete_list_ = true;  // no list has been received from this address yet
-  bool call_in_progress_ = false;
+  bool is_call_in_progress_ = false;
   bool is_reused_connection_ = false;  // the connection has served an earlier call
   bool last_watch_timed_out_ = false;  // and no list has been received since
   bool retry_immediately_ = false;     // the call that failed last was a watch that timed out
@@ -101,9 +101,9 @@
   // When this node is deemed notified of changes that it may have missed; empty if it has missed none.
   std::optional<TimePoint> deemed_notified_at_;
   Socket socket_;
-  Handle watch_handle_;
+  Handle socket_watch_;
   EventLoop::Deadline deadline_;
-  bool connected_ = false;
+  bool is_connected_ = false;
   std::string request_;
   std::string received_;
   std::size_t sent_ = 0;
--- a/src/node/gossip_socket.cpp
+++ b/src/node/gossip_socket.cpp
@@ -8,7 +8,7 @@
 namespace dapplewharf {
 namespace {
 
-constexpr std::size_t kLongestMessage = 256;
+constexpr std::size_t kReceiveBufferBytes = 256;
 constexpr Duration kOpenInterval = kSecond;  // between attempts to open the socket
 constexpr int kMessagesPerTurn = 64;         // the kernel drops further messages when its buffer is full
 constexpr int kUnknownPeer = -1;
@@ -23,7 +23,7 @@
                            std::uint64_t seed)
     : loop_(loop),
       counters_(counters),
-      loads_(static_cast<int>(settings.peers.size()), settings.node_index, seed) {
+      load_table_(static_cast<int>(settings.peers.size()), settings.node_index, seed) {
   const auto listen_address = parse_address(settings.listen);
   if (!listen_address || settings.peers.size() < 2) {
     return;
@@ -43,7 +43,7 @@
   if (!socket || bind(socket.descriptor(), reinterpret_cast<const sockaddr*>(&*listen_address_),
                       sizeof *listen_address_) != 0) {
     const int error = errno;
-    if (!std::exchange(failure_logged_, true)) {
+    if (!std::exchange(has_logged_failure_, true)) {
       spdlog::warn("gossip_unavailable error={}", error);
     }
     return;
@@ -59,7 +59,7 @@
   if (!socket_) {
     return;
   }
-  if (const std::vector<int> peers = loads_.choose_recipients(loop_.now(), counts); !peers.empty()) {
+  if (const std::vector<int> peers = load_table_.choose_recipients(loop_.now(), counts); !peers.empty()) {
     send(counts, peers);
   }
 }
@@ -87,7 +87,7 @@
 }
 
 void GossipSocket::read() {
-  char bytes[kLongestMessage];
+  char bytes[kReceiveBufferBytes];
   for (int i = 0; i < kMessagesPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t from_size = sizeof from;
@@ -97,8 +97,8 @@
       return;
     }
     const bool complete = size <= static_cast<ssize_t>(sizeof bytes);
-    if (complete &&
-        loads_.receive(peer_index(from), {bytes, static_cast<std::size_t>(size)}, EventLoop::unix_now())) {
+    if (complete && load_table_.receive(peer_index(from), {bytes, static_cast<std::size_t>(size)},
+                                        EventLoop::unix_now())) {
       ++counters_.gossip_received;
     } else {
       ++counters_.gossip_ignored;
@@ -107,7 +107,7 @@
 }
 
 std::optional<double> GossipSocket::connections_elsewhere(const std::string& endpoint) const {
-  return socket_ ? loads_.connections_elsewhere(endpoint, EventLoop::unix_now()) : std::nullopt;
+  return socket_ ? load_table_.connections_elsewhere(endpoint, EventLoop::unix_now()) : std::nullopt;
 }
 
 }  // namespace dapplewharf
--- a/src/node/gossip_socket.h
+++ b/src/node/gossip_socket.h
@@ -42,11 +42,11 @@
 
   EventLoop& loop_;
   Counters& counters_;
-  PeerLoadTable loads_;
+  PeerLoadTable load_table_;
   std::vector<sockaddr_in> addresses_;
   std::optional<sockaddr_in> listen_address_;
   TimePoint last_open_attempt_at_ = 0;  // when opening the socket was last attempted
-  bool failure_logged_ = false;
+  bool has_logged_failure_ = false;
   Socket socket_;
 };
 
--- a/src/node/health_checker.cpp
+++ b/src/node/health_checker.cpp
@@ -113,8 +113,8 @@
   if (!received || closed || !send_ping(checked)) {
     return on_connection_ended(endpoint, checked, closed);
   }
-  const bool sending = checked.is_in_progress && checked.sent < kPing.size();
-  loop_.update_interest(checked.watch_handle, sending ? POLLIN | POLLOUT : POLLIN);
+  const bool is_sending = checked.is_in_progress && checked.sent < kPing.size();
+  loop_.update_interest(checked.watch_handle, is_sending ? POLLIN | POLLOUT : POLLIN);
   read_answer(endpoint, checked);
 }
 
--- a/src/node/latency_estimator.h
+++ b/src/node/latency_estimator.h
@@ -25,8 +25,7 @@
   /// @param objective the message latency objective.
   /// @param unanswered for each established connection, how long its client has been waiting for an answer.
   /// @param baseline the longest time that a health check takes while the endpoint is idle, estimated from
-  /// other
-  ///        endpoints; 0 if unknown.
+  ///        other endpoints; 0 if unknown.
   [[nodiscard]] std::optional<Duration> report(TimePoint now, Duration objective,
                                                const std::vector<Duration>& unanswered,
                                                Duration baseline = 0);
@@ -48,10 +47,9 @@
 
 /// Estimates the service time of an idle endpoint of size 1.
 /// @param service_times for each endpoint of a zone, its shortest health check latency multiplied by its
-/// size.
+///        size.
 /// @return the value above the lowest third, because endpoints that answer much too fast are not
-/// representative; 0
-///         if there are no values.
+///        representative; 0 if there are no values.
 [[nodiscard]] double idle_service_time(std::vector<double> service_times);
 
 }  // namespace dapplewharf
--- a/src/node/listener.h
+++ b/src/node/listener.h
@@ -44,8 +44,8 @@
   Socket spare_descriptor_;
   Handle watch_handle_;
   EventLoop::Deadline retry_deadline_;
-  std::optional<TimePoint>
-      failing_since_;  // since when every accept has failed; empty if the last one succeeded
+  // Since when every accept has failed; empty if the last one succeeded.
+  std::optional<TimePoint> failing_since_;
 };
 
 /// Answers BUSY to a client for which this process has no descriptor, and closes the sending side.
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -31,18 +31,18 @@
 void on_signal(int number) {
   const int saved_errno = errno;
   const char byte = static_cast<char>(number);
-  [[maybe_unused]] const ssize_t written =
-      write(signal_pipe[1], &byte, 1);  // if the pipe is full, signals are pending anyway
+  // A full pipe is no problem: signals are pending then.
+  [[maybe_unused]] const ssize_t written = write(signal_pipe[1], &byte, 1);
   errno = saved_errno;
 }
 
 // Installed before the configuration is read: a SIGHUP before the node is ready would otherwise end the
 // process.
 void install_signal_handlers() {
-  const bool opened = retry_blocking(kPipeRetries, [](int) {
+  const bool is_open = retry_blocking(kPipeRetries, [](int) {
     return pipe2(signal_pipe, O_NONBLOCK | O_CLOEXEC) == 0 ? StepResult::succeeded : StepResult::retry;
   });
-  if (!opened) {
+  if (!is_open) {
     throw std::runtime_error("cannot create the pipe for signals");
   }
   for (const int number : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) {
@@ -95,14 +95,15 @@
   CommandLine command;
   CLI::App app(
       "A balancer for long-lived connections. Without arguments it reads the JSON that PROXY_CONFIG names.");
-  bool only_check = false;
+  bool is_check_only = false;
   app.add_option("--config", command.files.operators_language,
-                 "a configuration in the operators' language, in place of PROXY_CONFIG");
+                 "a configuration in the operators' language, instead of PROXY_CONFIG");
   app.add_option("--operator", command.files.operator_settings,
-                 "the operators' own settings, beside the configuration");
+                 "the operators' own settings, in addition to the configuration");
   app.add_option("--shadow", command.files.shadow_settings,
-                 "settings of another shape that are only watched: how they would have decided is counted");
-  app.add_flag("--check", only_check, "only checks; exit 0 good, 2 faulty");
+                 "settings to be shadowed: counts how they would have decided, without any other effect");
+  app.add_flag("--check", is_check_only,
+               "checks the configuration and exits with 0 if it is valid, 2 if not");
   app.set_version_flag("--version", std::string("dapplewharf ") + kVersion);
   app.footer("Example: dapplewharf --config host-floor.dw --check");
   try {
@@ -115,7 +116,7 @@
   }
   const char* variable = std::getenv("PROXY_CONFIG");
   command.files.platform_json = variable ? variable : "";
-  if (only_check) {
+  if (is_check_only) {
     command.exit_code = check_configuration(command.files);
   }
   return command;
--- a/src/node/proxied_connection.h
+++ b/src/node/proxied_connection.h
@@ -18,7 +18,7 @@
 /// One side of a proxied connection: the client or the host.
 struct Peer {
   Socket socket;
-  Handle watch_handle;
+  Handle watch_handle;           ///< of the socket in the event loop
   std::string pending;           ///< bytes to be sent to this side
   bool is_read_closed = false;   ///< it has closed its sending side
   bool is_write_closed = false;  ///< this node has closed its sending side
@@ -34,15 +34,15 @@
 
 /// The state of the relay of an established connection.
 struct RelayState {
-  std::optional<TimePoint>
-      request_sent_at;       ///< when the client's first line after the host's last line was received
-  std::string partial_line;  ///< the beginning of the host's incomplete line
+  /// When the first line of the client after the host's last line was received.
+  std::optional<TimePoint> request_sent_at;
+  std::string partial_line;              ///< the beginning of the host's incomplete line
   LineType last_line = LineType::other;  ///< the host's last complete line
   std::size_t complete_bytes = 0;      ///< of the bytes pending for the client, those up to the last line end
-  bool is_mid_line = false;            ///< the client has been sent a line up to its middle
+  bool is_mid_line = false;            ///< the client has been sent the start of a line, but not its end
   bool has_pending_migration = false;  ///< MOVE is to be sent at the end of that line
-  bool has_client_closed_first = false;
-  TimePoint last_activity = 0;  ///< when bytes were last received from either side
+  bool has_client_closed_first = false;  ///< before the host has closed
+  TimePoint last_activity = 0;           ///< when bytes were last received from either side
 };
 
 /// The connection of one client, and the one to its host if there is one.
--- a/src/node/upstream_attempt.cpp
+++ b/src/node/upstream_attempt.cpp
@@ -1,5 +1,5 @@
-// The steps of an attempt in order: begin, connect, send the request, await the answer, end.
-// Design: docs/design.md.
+// The steps of an attempt in order: begin, connect, send the request, await the answer, end. Design:
+// docs/design.md.
 #include "node/upstream_attempt.h"
 
 #include <spdlog/spdlog.h>
--- a/tests/node/event_order_test.cpp
+++ b/tests/node/event_order_test.cpp
@@ -53,10 +53,9 @@
       harness.run_until([&] { return harness.discovery_connections == 3 && has_discovery_call(harness); },
                         kNotifiedAfterSilenceMs))
       << "the watch is repeated on a new connection";
-  harness.discovery_responses = {
-      kBusy, NodeHarness::http("garbage"),
-      complete_list(harness, 2, kAllEndpoints,
-                    "draining")};  // the service is overloaded by the calls of all nodes
+  // The service is overloaded by the calls of all nodes, so that the first two answers are useless.
+  harness.discovery_responses = {kBusy, NodeHarness::http("garbage"),
+                                 complete_list(harness, 2, kAllEndpoints, "draining")};
   EXPECT_TRUE(
       harness.run_until([&] { return harness.discovery_responses.empty(); }, kNotifiedAfterSilenceMs));
   EXPECT_LT(harness.loop.now() - watch_sent_at, kNotifiedAfterSilenceMs * kMs);
@@ -83,7 +82,7 @@
 struct BlockedEndpointListener {
   NodeHarness& harness;
   Socket filler;  // fills the accept queue, whose backlog is 0
-  explicit BlockedEndpointListener(NodeHarness& blocked) : harness(blocked) {
+  explicit BlockedEndpointListener(NodeHarness& node_harness) : harness(node_harness) {
     listen(harness.endpoint_listener.descriptor(), 0);
     EXPECT_EQ(start_connecting(harness.endpoint_address, 1024, 0, filler), ConnectStart::in_progress);
     pollfd connected{filler.descriptor(), POLLOUT, 0};
@@ -270,8 +269,8 @@
   Socket socket;
   EXPECT_EQ(start_connecting(harness.node_address, 1024, 0, socket), ConnectStart::in_progress);
   const std::string line = request_line();
-  EXPECT_TRUE(
-      socket.send(line.data(), line.size()));  // on loopback the kernel has accepted the connection already
+  // On loopback the kernel has established the connection already.
+  EXPECT_TRUE(socket.send(line.data(), line.size()));
   EXPECT_FALSE(harness.node->may_exit());
   const int client = harness.keep_socket(std::move(socket));
   harness.write(harness.accept_endpoint_connection(), "UP x\r\n");
@@ -381,7 +380,7 @@
   EXPECT_EQ(received, "");
 }
 
-TEST(EventOrder, AdoptedConnectionDuringAShutdownAClientResetOrADrain) {
+TEST(EventOrder, AdoptedConnectionIsMigratedOrClosedOnShutdownClientResetAndDrain) {
   for (const std::string event : {"shutdown", "client reset", "drain", "drain after UP"}) {
     SCOPED_TRACE(event);
     NodeHarness harness;
@@ -412,24 +411,24 @@
 // Two events in both orders, in one turn of the event loop and in consecutive turns, while an attempt that
 // must not be repeated is in flight. Impossible pairs are skipped: a host cannot answer after its reset, a
 // client cannot leave twice, and a host cannot answer twice.
-TEST(EventOrder, EachPairOfEventsInBothOrders) {
+TEST(EventOrder, AnswersFollowTheRulesForEachPairOfEventsInBothOrders) {
   const std::vector<std::string> events = {"client FIN", "client RST", "UP",     "BUSY",
                                            "host RST",   "drain",      "SIGTERM"};
   const auto contains = [](const std::string& event, const char* part) {
     return event.find(part) != std::string::npos;
   };
-  int pairs = 0;
-  for (const std::string& a : events) {
-    for (const std::string& b : events) {
+  int combinations = 0;
+  for (const std::string& first : events) {
+    for (const std::string& second : events) {
       for (const bool in_consecutive_turns : {false, true}) {
-        const bool client_leaves_twice = contains(a, "client") && contains(b, "client");
-        const bool answer_after_reset = a == "host RST" && (b == "UP" || b == "BUSY");
-        const bool two_answers = (a == "UP" || a == "BUSY") && (b == "UP" || b == "BUSY");
-        if (a == b || client_leaves_twice || answer_after_reset || two_answers) {
+        const bool client_leaves_twice = contains(first, "client") && contains(second, "client");
+        const bool answer_after_reset = first == "host RST" && (second == "UP" || second == "BUSY");
+        const bool two_answers = (first == "UP" || first == "BUSY") && (second == "UP" || second == "BUSY");
+        if (first == second || client_leaves_twice || answer_after_reset || two_answers) {
           continue;
         }
-        SCOPED_TRACE(a + (in_consecutive_turns ? ", in the next turn " : ", ") + b);
-        ++pairs;
+        SCOPED_TRACE(first + (in_consecutive_turns ? ", in the next turn " : ", ") + second);
+        ++combinations;
         NodeHarness harness(1024, true,
                             [](Configuration& to) { to.settings["lanes"][0]["semantics"] = "at_most_once"; });
         std::string line = request_line();
@@ -458,12 +457,12 @@
             harness.node->begin_shutdown();
           }
         };
-        trigger(a);
+        trigger(first);
         if (in_consecutive_turns) {
           harness.run_once();
         }
-        trigger(b);
-        const bool client_left = contains(a, "client") || contains(b, "client");
+        trigger(second);
+        const bool client_left = contains(first, "client") || contains(second, "client");
         std::string received;
         bool has_ended = false;
         int further_attempts = 0;
@@ -472,13 +471,13 @@
           if (accepted) {
             ++further_attempts, accepted.send("BUSY\r\n", 6), harness.keep_socket(std::move(accepted));
           }
-          return a == "client RST" || b == "client RST" ||
+          return first == "client RST" || second == "client RST" ||
                  !harness.socket(client).receive(received, 4096, has_ended) || has_ended ||
                  received.find('\n') != std::string::npos;
         });
         harness.run_for(30);
-        const bool up = a == "UP" || b == "UP";
-        const bool busy = a == "BUSY" || b == "BUSY";
+        const bool up = first == "UP" || second == "UP";
+        const bool busy = first == "BUSY" || second == "BUSY";
         if (!busy) {
           EXPECT_EQ(further_attempts, 0) << "a request that may have run is not attempted again";
         }
@@ -493,11 +492,11 @@
         }
         // After UP there may be a MOVE.
         EXPECT_LE(std::count(received.begin(), received.end(), '\n'), up ? 2 : 1) << received;
-        if (client_left && a != "host RST" && b != "host RST") {
+        if (client_left && first != "host RST" && second != "host RST") {
           EXPECT_TRUE(harness.is_closed_by_peer(host)) << "the connection to the host is closed";
         }
       }
     }
   }
-  EXPECT_EQ(pairs, 72);
+  EXPECT_EQ(combinations, 72);
 }
--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -272,7 +272,7 @@
   EXPECT_TRUE(read_with_shadow(good.path).configuration->shadow_settings);
   const TemporaryFile invalid_json("shadow-invalid-json.json", "{\n  \"settings\": {,}\n}");
   EXPECT_EQ(read_with_shadow(invalid_json.path).error,
-            "shadow-invalid-json.json:2:16: this is no JSON; expected an object with 'settings'");
+            "shadow-invalid-json.json:2:16: this is not JSON; expected an object with 'settings'");
   const TemporaryFile no_settings("shadow-no-settings.json", "{}");
   EXPECT_NE(read_with_shadow(no_settings.path).error.find("expected an object of that name"),
             std::string::npos);
