--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -16,19 +16,19 @@
 PolicyAction from_flat(const FlatAction& flat) {
   switch (flat.kind) {
     case ActionKind::start_attempt:
-      return StartAttempt{flat.id, flat.host, flat.time};
+      return StartAttempt{flat.request_id, flat.endpoint, flat.delay};
     case ActionKind::cancel_attempt:
-      return CancelAttempt{flat.id, flat.number};
+      return CancelAttempt{flat.request_id, flat.attempt_or_timer};
     case ActionKind::reject_request:
-      return RejectRequest{flat.id, flat.time};
+      return RejectRequest{flat.request_id, flat.delay};
     case ActionKind::fail_request:
-      return FailRequest{flat.id};
+      return FailRequest{flat.request_id};
     case ActionKind::migrate_connection:
-      return MigrateConnection{flat.id, flat.host};
+      return MigrateConnection{flat.request_id, flat.endpoint};
     case ActionKind::check_health:
-      return CheckHealth{flat.host};
+      return CheckHealth{flat.endpoint};
     case ActionKind::set_timer:
-      return SetTimer{flat.number, flat.time};
+      return SetTimer{flat.attempt_or_timer, flat.delay};
     case ActionKind::watch_endpoints:
       return WatchEndpoints{};
     case ActionKind::fetch_endpoints:
@@ -58,7 +58,7 @@
     FlatEvent list;
     list.kind = EventKind::endpoints_cached;
     for (int i = 0; i < endpoints; ++i) {
-      list.entries.push_back(endpoint_entry("h" + std::to_string(i)));
+      list.endpoints.push_back(endpoint_entry("h" + std::to_string(i)));
     }
     send_event(list);
   }
@@ -68,17 +68,17 @@
       shadow->observe(now, {from_flat(event)}, from_flat(last_actions));
     }
     for (const FlatAction& action : last_actions) {
-      actions += std::to_string(static_cast<int>(action.kind)) + " " + action.id + " " + action.host + " " +
-                 std::to_string(action.time) + "\n";
+      actions += std::to_string(static_cast<int>(action.kind)) + " " + action.request_id + " " +
+                 action.endpoint + " " + std::to_string(action.delay) + "\n";
     }
     return last_actions;
   }
   FlatEvent event_of(EventKind kind, const std::string& id) {
     FlatEvent event;
     event.kind = kind;
-    event.id = id;
-    event.host = attempts[id].empty() ? "" : attempts[id].back();
-    event.number = static_cast<int>(attempts[id].size()) - 1;
+    event.request_id = id;
+    event.endpoint = attempts[id].empty() ? "" : attempts[id].back();
+    event.attempt_or_timer = static_cast<int>(attempts[id].size()) - 1;
     return event;
   }
 
@@ -88,12 +88,12 @@
     for (int i = 0; i < 120; ++i) {
       now += 2000;
       FlatEvent timer;
-      timer.number = 1;
+      timer.attempt_or_timer = 1;
       send_event(timer);
       answer_health_checks();
       const std::string id = "a" + std::to_string(i);
       FlatEvent request = request_from_tenant("");
-      request.id = id;
+      request.request_id = id;
       request.client_key = i;
       request.affinity_group = i % 7;
       send_event(request);
@@ -108,7 +108,7 @@
       if (i % 11 == 3) {
         send_event(event_of(EventKind::client_disconnected, id));
         FlatEvent cancelled = event_of(EventKind::attempt_ended, id);
-        cancelled.outcome = Outcome::cancelled, cancelled.final = true;
+        cancelled.outcome = Outcome::cancelled, cancelled.is_final = true;
         send_event(cancelled);
         continue;
       }
@@ -117,24 +117,24 @@
       send_event(established);
       if (i % 3 == 0) {
         FlatEvent completed = event_of(EventKind::attempt_ended, id);
-        completed.final = true;
+        completed.is_final = true;
         send_event(completed);
       }
       if (i == 60) {
         FlatEvent change;
         change.kind = EventKind::endpoints_update;
-        change.entries.push_back(endpoint_entry("h1"));
-        change.entries.back().state = EndpointState::draining;
+        change.endpoints.push_back(endpoint_entry("h1"));
+        change.endpoints.back().state = EndpointState::draining;
         send_event(change);
       }
       if (i >= 80 && i < 84) {
         FlatEvent high_latency = event_of(EventKind::latency_reported, id);
-        high_latency.figure = 600;
+        high_latency.value = 600;
         send_event(high_latency);
       }
       for (const std::string& migrated_id : std::exchange(migrated, {})) {
         FlatEvent end = event_of(EventKind::attempt_ended, migrated_id);
-        end.outcome = Outcome::cancelled, end.final = true;
+        end.outcome = Outcome::cancelled, end.is_final = true;
         send_event(end);
       }
     }
@@ -178,9 +178,9 @@
     std::uint64_t ShadowCounts::*kind;
   };
   for (const Case& test_case :
-       {Case{"max_tries", 1.0, &ShadowCounts::would_reject},
-        Case{"message_goal.0", 5000.0, &ShadowCounts::would_stay}, Case{"zone", std::string("far"), nullptr},
-        Case{"report.load", 0.0, nullptr}}) {
+       {Case{"max_attempts", 1.0, &ShadowCounts::would_reject},
+        Case{"message_latency_objective.0", 5000.0, &ShadowCounts::would_stay},
+        Case{"zone", std::string("far"), nullptr}, Case{"load_report_index", 0.0, nullptr}}) {
     ShadowHarness harness;
     SettingsMap shadow_settings = harness.settings;
     shadow_settings[test_case.setting] = test_case.value;
@@ -197,7 +197,7 @@
   // The reverse: the real settings allow one attempt, the shadowed settings several.
   ShadowHarness strict;
   const SettingsMap shadow_settings = strict.settings;
-  strict.settings["max_tries"] = 1.0;
+  strict.settings["max_attempts"] = 1.0;
   strict.start_with_shadow(6, shadow_settings);
   strict.run_long_scenario();
   EXPECT_GT(strict.shadow->counts().would_attempt, 10u) << strict.shadow->counts().format();
@@ -207,8 +207,8 @@
 TEST(Shadow, ChangedWeightsAffectOnlyTheSettingsWithLiveWeights) {
   ShadowHarness harness;
   SettingsMap shadow_settings = harness.settings;
-  shadow_settings["weights"] = std::string("live");
-  harness.settings["nodes"] = shadow_settings["nodes"] = 30.0;
+  shadow_settings["weights_follow_load"] = 1.0;
+  harness.settings["node_count"] = shadow_settings["node_count"] = 30.0;
   harness.start_with_shadow(6, shadow_settings);
   harness.run_long_scenario();
   // With live weights, the largest weight says that an endpoint holds no connections.
@@ -216,8 +216,8 @@
   FlatEvent change;
   change.kind = EventKind::endpoints_update;
   for (int i = 0; i < 6; ++i) {
-    change.entries.push_back(LoadBalancerHarness::endpoint_entry("h" + std::to_string(i)));
-    change.entries.back().size = i < 3 ? 0.02 : 0.5;
+    change.endpoints.push_back(LoadBalancerHarness::endpoint_entry("h" + std::to_string(i)));
+    change.endpoints.back().size = i < 3 ? 0.02 : 0.5;
   }
   harness.send_event(change);
   harness.run_long_scenario();
--- a/tests/node/transient_faults_test.cpp
+++ b/tests/node/transient_faults_test.cpp
@@ -10,7 +10,7 @@
 #include "support/system_faults.h"
 
 using namespace dapplewharf;
-using faults::Call;
+using faults::SystemCall;
 
 namespace {
 
@@ -44,7 +44,7 @@
     const auto [client, host] = establish_connection(harness);
     harness.run_for(20);
     // Only for the node's socket, whose peer has the host's port.
-    faults::inject({Call::recv, error, 1, 0, 500, ntohs(harness.endpoint_address.sin_port)});
+    faults::inject({SystemCall::recv, error, 1, 0, 500, ntohs(harness.endpoint_address.sin_port)});
     harness.socket(host).send("a line\r\n", 8);
     if (error == ECONNRESET) {
       EXPECT_TRUE(harness.was_reset(client));
@@ -56,12 +56,12 @@
 }
 
 TEST_F(TransientFaults, TransientReadAndWriteErrorsDoNotEndAConnection) {
-  for (const auto& [call, error] : {std::pair(Call::recv, ENOBUFS),
-                                    {Call::recv, EINTR},
-                                    {Call::recv, ENOMEM},
-                                    {Call::send, ENOBUFS},
-                                    {Call::send, EINTR},
-                                    {Call::send, ENOMEM}}) {
+  for (const auto& [call, error] : {std::pair(SystemCall::recv, ENOBUFS),
+                                    {SystemCall::recv, EINTR},
+                                    {SystemCall::recv, ENOMEM},
+                                    {SystemCall::send, ENOBUFS},
+                                    {SystemCall::send, EINTR},
+                                    {SystemCall::send, ENOMEM}}) {
     SCOPED_TRACE(error);
     NodeHarness harness;
     const auto [client, host] = establish_connection(harness);
@@ -76,7 +76,7 @@
 
 TEST_F(TransientFaults, AnswersAreCompleteDespiteShortWrites) {
   NodeHarness harness(64);  // silent clients may hold an eighth of them
-  faults::inject({Call::send, 0, 1, 0, -1, 0, 0, true});
+  faults::inject({SystemCall::send, 0, 1, 0, -1, 0, 0, true});
   const int pinging = harness.connect_client("PING\r\n");
   EXPECT_EQ(harness.read(pinging, 6), "PONG\r\n");
   const int longest_silent = harness.connect_client("");
@@ -92,7 +92,7 @@
   harness.start(3);
   for (int i = 0; i < 12; ++i) {
     FlatEvent unsent;
-    unsent.kind = EventKind::health_check_ended, unsent.host = "h1", unsent.outcome = Outcome::not_sent;
+    unsent.kind = EventKind::health_check_ended, unsent.endpoint = "h1", unsent.outcome = Outcome::not_sent;
     harness.send_event(unsent);
     for (const FlatAction& action : harness.last_actions) {
       EXPECT_EQ(action.text.find("health_degraded signal=active"), std::string::npos) << action.text;
@@ -101,17 +101,18 @@
 }
 
 TEST_F(TransientFaults, DiscoveryIsCalledAgainAfterATransientConnectError) {
-  for (const auto& [call, error] : {std::pair(Call::connect, ENETUNREACH), {Call::socket, ENFILE}}) {
+  for (const auto& [call, error] :
+       {std::pair(SystemCall::connect, ENETUNREACH), {SystemCall::socket, ENFILE}}) {
     SCOPED_TRACE(error);
     NodeHarness harness;
     EXPECT_TRUE(harness.run_until(
         [&] { return harness.discovery_connections == 1 && harness.discovery_request.size() > 4; }));
-    faults::inject(
-        {call, error, 1, 0, 300, call == Call::connect ? ntohs(harness.discovery_address.sin_port) : 0});
-    const std::int64_t hits_before = faults::hits();
+    faults::inject({call, error, 1, 0, 300,
+                    call == SystemCall::connect ? ntohs(harness.discovery_address.sin_port) : 0});
+    const std::int64_t affected_before = faults::affected_calls();
     harness.socket(harness.keep_socket(std::move(harness.discovery_connection))).close_with_reset();
     EXPECT_TRUE(harness.run_until([&] { return harness.discovery_connections == 2; }, 3000));
-    EXPECT_GT(faults::hits(), hits_before);
+    EXPECT_GT(faults::affected_calls(), affected_before);
     faults::clear();
   }
 }
@@ -149,7 +150,7 @@
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  faults::inject({Call::socket, ENFILE, 1, 0, 250});
+  faults::inject({SystemCall::socket, ENFILE, 1, 0, 250});
   EXPECT_FALSE(listen_on(address, listener));
   EXPECT_TRUE(listener);
 }
