--- a/tests/support/fixtures.h
+++ b/tests/support/fixtures.h
@@ -275,9 +275,10 @@
     }
     configuration.listen = address_text(node_address);
     if (has_cached_list) {
-      configuration.known = {{"generation", 1}, {"reset", true}, {"instances", list}};
+      configuration.cached_endpoint_list = {{"generation", 1}, {"reset", true}, {"instances", list}};
     }
-    configuration.env = nlohmann::json::parse(R"({"peersTotal": 1, "zone": "near", "discovery": "on_request",
+    configuration.settings =
+        nlohmann::json::parse(R"({"peersTotal": 1, "zone": "near", "discovery": "on_request",
       "guarantees": {"coldFrom": 0.3, "coldMs": 8000, "fallMs": 2000, "fallMultiple": 2.5,
                      "stopSendingWithinMs": 1000},
       "bounds": {"maxAttempts": 4, "maxRetryAfterMs": 1500, "retryAfter": true, "probes": false,
@@ -303,7 +304,7 @@
   /// Runs the node's event loop once, then accepts and answers discovery's connection.
   void run_once() {
     loop.run_once(50);
-    node->settle();
+    node->process_events();
     if (!discovery_connection) {
       discovery_connection =
           Socket(accept4(discovery_listener.descriptor(), nullptr, nullptr, SOCK_NONBLOCK));
