--- a/src/config/platform_settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -46,12 +46,12 @@
     {"/me", ValueKind::number, [](Settings& to, const json& v) { to.node_index = number_of(v); }},
     {"/zone", ValueKind::text, [](Settings& to, const json& v) { to.zone = text_of(v); }},
     {"/discovery", ValueKind::text,
-     [](Settings& to, const json& v) { to.polls_endpoints = text_of(v) == "on_request"; }},
+     [](Settings& to, const json& v) { to.polls_endpoint_list = text_of(v) == "on_request"; }},
     {"/weights", ValueKind::text,
      [](Settings& to, const json& v) { to.weights_follow_load = text_of(v) == "live"; }},
     {"/guarantees/graceToAnswerMs", ValueKind::number, ignore<Settings>},
     {"/guarantees/askWithinMs", ValueKind::number,
-     [](Settings& to, const json& v) { to.notified_within = duration_of(v); }},
+     [](Settings& to, const json& v) { to.notification_limit = duration_of(v); }},
     {"/guarantees/coldFrom", ValueKind::number,
      [](Settings& to, const json& v) { to.cold_capacity_share = number_of(v); }},
     {"/guarantees/coldMs", ValueKind::number,
@@ -63,7 +63,7 @@
     {"/guarantees/stopSendingWithinMs", ValueKind::number,
      [](Settings& to, const json& v) { to.drain_grace = duration_of(v); }},
     {"/guarantees/drainBindsAlone", ValueKind::number,
-     [](Settings& to, const json& v) { to.only_drains_bind = flag_of(v); }},
+     [](Settings& to, const json& v) { to.may_use_removed_endpoints = flag_of(v); }},
     {"/bounds/maxAttempts", ValueKind::number,
      [](Settings& to, const json& v) { to.max_attempts = number_of(v); }},
     {"/bounds/maxRetryAfterMs", ValueKind::number,
@@ -183,7 +183,7 @@
   }
   for (std::size_t i = 0; i < quotas.size(); ++i) {
     if (quotas[i].is_number() || quotas[i].is_boolean()) {
-      all[i].connections = number_of(quotas[i]);
+      all[i].connection_quota = number_of(quotas[i]);
     }
   }
   return all;
@@ -222,11 +222,11 @@
   settings.traffic = parse_traffic(source.value("lanes", json::array()));
   settings.tenants =
       parse_tenants(array_at(source, "/realms"), array_at(source, "/extra/tenantQuotaConnections"));
-  settings.shortest_message_objective = shortest_of(array_at(source, "/extra/messageAimMs"));
+  settings.min_message_latency_objective = shortest_of(array_at(source, "/extra/messageAimMs"));
   const json reports = array_at(source, "/feedback/fields");
   for (std::size_t i = 0; i < reports.size(); ++i) {
     if (reports[i] == "x0") {  // load over capacity
-      settings.load_report_index = i;
+      settings.load_value_index = i;
     }
   }
   check_required(source);
--- a/src/emulator/sim/baseline_policy.cpp
+++ b/src/emulator/sim/baseline_policy.cpp
@@ -51,7 +51,7 @@
 void BaselinePolicy::handle(const EndpointsSnapshot& event) {
   for (auto& [id, known] : endpoints_) {
     const bool named = std::any_of(event.endpoints.begin(), event.endpoints.end(),
-                                   [&id = id](const EndpointEntry& entry) { return entry.host == id; });
+                                   [&id = id](const EndpointEntry& entry) { return entry.id == id; });
     if (!named) {
       known.entry.state = EndpointState::removed;
     }
@@ -113,9 +113,9 @@
 
 void BaselinePolicy::update_endpoints(const std::vector<EndpointEntry>& entries) {
   for (const EndpointEntry& entry : entries) {
-    endpoints_[entry.host].entry = entry;
+    endpoints_[entry.id].entry = entry;
     if (entry.state != EndpointState::healthy) {
-      migrate_from(entry.host);
+      migrate_from(entry.id);
     }
   }
 }
@@ -199,7 +199,7 @@
 double BaselinePolicy::rank(const HeldRequest& request, const std::string& id,
                             const KnownEndpoint& endpoint) {
   if (defect_ == NodeDefect::heaps_on_cold) {
-    return -static_cast<double>(endpoint.entry.started);
+    return -static_cast<double>(endpoint.entry.started_at);
   }
   const bool tried = std::count(request.tried.begin(), request.tried.end(), id) > 0;
   const double tried_before = tried ? kTriedBefore : 0;
--- a/src/emulator/sim/endpoint_list_service.cpp
+++ b/src/emulator/sim/endpoint_list_service.cpp
@@ -29,17 +29,17 @@
 EndpointEntry EndpointListService::entry(Index index) const {
   const PlannedHost& planned = state_.plan.hosts[index];
   const SimulatedEndpoint& endpoint = state_.endpoints[index];
-  return {.host = planned.id,
+  return {.id = planned.id,
           .zone = state_.scenario.zones[static_cast<std::size_t>(planned.zone)],
           .cell = planned.zone,
           .state = endpoint.published,
           .size = planned.size,
-          .started = endpoint.started > 0 ? kPolicyClockAtStart + endpoint.started : 0};
+          .started_at = endpoint.started > 0 ? kPolicyClockAtStart + endpoint.started : 0};
 }
 
 void EndpointListService::record_notification(Index node, const std::vector<EndpointEntry>& list) {
   for (const EndpointEntry& listed : list) {
-    const Index endpoint = state_.find_endpoint(listed.host).value();
+    const Index endpoint = state_.find_endpoint(listed.id).value();
     const bool leaving = listed.state != EndpointState::healthy;
     state_.audit.told(static_cast<int>(node), static_cast<int>(endpoint), leaving, state_.now());
   }
--- a/src/emulator/sim/endpoint_simulator.cpp
+++ b/src/emulator/sim/endpoint_simulator.cpp
@@ -164,10 +164,10 @@
 void EndpointSimulator::report_load(Index index) {
   const SimulatedConnection& connection = state_.connections[index];
   const Index node = connection.node;
-  parts_.nodes.add_event(node,
-                         LoadReported{.request_id = state_.request_id(connection),
-                                      .endpoint = state_.plan.hosts[connection.endpoint].id,
-                                      .work = connection.load / state_.scenario.per_core * kMicroseconds});
+  parts_.nodes.add_event(
+      node, LoadReported{.request_id = state_.request_id(connection),
+                         .endpoint = state_.plan.hosts[connection.endpoint].id,
+                         .work_us_per_s = connection.load / state_.scenario.per_core * kMicroseconds});
   parts_.nodes.run_policy(node);
 }
 
--- a/src/emulator/sim/health_check_simulator.cpp
+++ b/src/emulator/sim/health_check_simulator.cpp
@@ -76,7 +76,7 @@
   parts_.nodes.add_event(node, HealthCheckEnded{.endpoint = state_.plan.hosts[check.endpoint].id,
                                                 .outcome = event.outcome,
                                                 .duration = state_.now() - check.started,
-                                                .report = {}});
+                                                .reported_values = {}});
   parts_.nodes.run_policy(node);
 }
 
--- a/src/node/endpoint_directory.cpp
+++ b/src/node/endpoint_directory.cpp
@@ -16,8 +16,8 @@
     records_[host].address = address;
   }
   for (const EndpointEntry& entry : list.listings) {
-    EndpointRecord& record = records_[entry.host];
-    record.location = EndpointLocation{entry.host, entry.zone, entry.cell};
+    EndpointRecord& record = records_[entry.id];
+    record.location = EndpointLocation{entry.id, entry.zone, entry.cell};
     if (entry.zone == own_zone && entry.size > 0) {
       record.size_in_own_zone = entry.size;
     }
@@ -34,10 +34,10 @@
 void EndpointDirectory::apply_states(const EndpointSnapshot& list, std::vector<std::string>& leaving) {
   for (const EndpointEntry& entry : list.listings) {
     if (entry.state == EndpointState::draining) {
-      records_[entry.host].leaving = entry.state;
-      leaving.push_back(entry.host);
+      records_[entry.id].leaving = entry.state;
+      leaving.push_back(entry.id);
     } else if (entry.state == EndpointState::healthy) {
-      records_[entry.host].leaving.reset();
+      records_[entry.id].leaving.reset();
     }
   }
 }
@@ -47,7 +47,7 @@
   std::set<std::string> present;
   std::set<std::string> removed;
   for (const EndpointEntry& entry : list.listings) {
-    (entry.state == EndpointState::removed ? removed : present).insert(entry.host);
+    (entry.state == EndpointState::removed ? removed : present).insert(entry.id);
   }
   for (const auto& [host, record] : records_) {
     if (list.whole && !record.address.empty() && !present.count(host)) {
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -16,7 +16,7 @@
 
 // When what a silent watch has missed counts as notified, after it fell silent; and what a new address has to
 // tell, after SIGHUP.
-constexpr Duration kNotifiedAfterSilence = Backoff::kToldWithin;
+constexpr Duration kNotifiedAfterSilence = Backoff::kNotificationLimit;
 constexpr Duration kNotifiedAfterMove = 4 * kSecond;
 // Half of the first, so that as much again is left to begin a silent watch anew: all nodes' watches fall
 // silent together, and one service answers them in turn.
@@ -64,16 +64,16 @@
   to.version = from.at("generation").get<std::int64_t>();
   for (const json& entry : from.at("instances")) {
     EndpointEntry listing;
-    listing.host = entry.at("instanceId").get<std::string>();
+    listing.id = entry.at("instanceId").get<std::string>();
     listing.zone = field<std::string>(entry, "zone", "");
-    listing.kind = field<std::string>(entry, "machineType", "");
+    listing.machine_type = field<std::string>(entry, "machineType", "");
     listing.cell = field<std::int64_t>(entry, "cell", 0);
     listing.state = state_of(entry.at("lifecycle").get<std::string>());
     listing.size = field<double>(entry, "weight", 1);
-    listing.started = starts.place(listing.host, field<double>(entry, "startedAtMs", 0), now, unix_now);
+    listing.started_at = starts.place(listing.id, field<double>(entry, "startedAtMs", 0), now, unix_now);
     const auto address = field<std::string>(entry, "hostPort", "");
     if (!address.empty()) {
-      to.addresses[listing.host] = address;
+      to.addresses[listing.id] = address;
     }
     to.listings.push_back(std::move(listing));
   }
@@ -135,7 +135,7 @@
 
 void EndpointDiscovery::call(const std::string& target, bool waits) {
   const Duration watch_timeout = kWatchWait + (watch_hung_ ? kLateWatchTimeout : kWatchTimeout);
-  const Duration timeout = waits ? watch_timeout : Backoff::kPatience;
+  const Duration timeout = waits ? watch_timeout : Backoff::kResponseTimeout;
   call_in_progress_ = true;
   ++counters_.endpoint_list_calls;
   spdlog::debug("endpoint_list_called target={}", target);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -54,7 +54,7 @@
 }
 
 void Node::apply_settings() {
-  endpoints_.set_only_draining_binds(settings_.policy.only_drains_bind);
+  endpoints_.set_only_draining_binds(settings_.policy.may_use_removed_endpoints);
   limits_.connect_time = settings_.policy.connect_timeout;
   limits_.descriptors = configuration_.descriptors;
   limits_.list_bytes =
@@ -94,12 +94,12 @@
 // A service that is back counts as having notified every node, and draining endpoints are sent to until a
 // node has asked. No wait is therefore longer than half of the drain's grace period.
 void Node::subscribe() {
-  if (settings_.policy.polls_endpoints) {  // the load balancer asks for each list itself
+  if (settings_.policy.polls_endpoint_list) {  // the load balancer asks for each list itself
     return;
   }
   const Backoff backoff(settings_.policy.node_count, settings_.policy.drain_grace / 2);
   const Duration delay =
-      discovery_losses_ == 0 ? 0 : backoff.again(discovery_losses_, random_.next_fraction());
+      discovery_losses_ == 0 ? 0 : backoff.retry_wait(discovery_losses_, random_.next_fraction());
   loop_.schedule(next_subscription_, loop_.now() + delay, [this] { discovery_.watch(); });
 }
 
@@ -129,7 +129,7 @@
   events_.add(HealthCheckEnded{.endpoint = host,
                                .outcome = outcome_of(health_check.result),
                                .duration = health_check.duration,
-                               .report = {}});
+                               .reported_values = {}});
   if (health_check.latency > 0 && loop_.lateness() < kHeldUp) {
     endpoints_.latency(host).record_health_check(loop_.now(), health_check.latency);
   }
@@ -175,7 +175,7 @@
     const auto idle = idle_times.find(host);
     const Duration baseline = idle == idle_times.end() ? 0 : idle->second;
     const auto latency = endpoints_.latency(host).report(
-        loop_.now(), settings_.policy.shortest_message_objective, lines.ages, baseline);
+        loop_.now(), settings_.policy.min_message_latency_objective, lines.ages, baseline);
     if (latency) {
       events_.add(LatencyReported{
           .request_id = lines.request_id, .endpoint = host, .latency = static_cast<double>(*latency)});
@@ -272,7 +272,7 @@
   if (!shutdown_.begin(loop_.now(), settings_.policy.longest_deadline())) {
     return;
   }
-  events_.add(ShutdownStarted{.answer_by = shutdown_.answers_due()});
+  events_.add(ShutdownStarted{.answer_deadline = shutdown_.answers_due()});
   requests_.shorten_to_shutdown();
   loop_.schedule(close_requests_, shutdown_.requests_close_at(), [this] { requests_.close_all(); });
   spdlog::info("shutdown_started open_connections={}", requests_.open_connections());
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -88,7 +88,7 @@
   }
   const std::string id = id_of(handle);
   events_.add(ClientDisconnected{.request_id = id});
-  ledger_.client_left(id);
+  ledger_.record_client_disconnect(id);
   if (!request->attempt_in_progress) {
     return release(id);
   }
@@ -107,7 +107,7 @@
   if (const auto violation = ledger_.check_answer(id, FinalAnswer::up)) {
     report_violation("pass on UP to", id, violation);
   }
-  ledger_.answered(id);
+  ledger_.record_answer(id);
   request->established = true;
   const Duration setup_time = loop_.now() - request->sent_at;
   events_.add(AttemptEstablished{.request_id = id,
@@ -125,7 +125,7 @@
   }
   const Outcome outcome = outcome_of(result);
   if (!request->between_attempts) {
-    ledger_.ended(id_of(handle), may_have_run(outcome));
+    ledger_.record_attempt_end(id_of(handle), may_have_run(outcome));
   }
   if (request->awaits_reconnect() && reconnect_later(handle, *request, result)) {
     return;
@@ -212,7 +212,7 @@
 
 void RequestHandler::on_load_reported(Handle handle, double load) {
   if (const Request* request = find(handle)) {
-    events_.add(LoadReported{.request_id = id_of(handle), .endpoint = request->host, .work = load});
+    events_.add(LoadReported{.request_id = id_of(handle), .endpoint = request->host, .work_us_per_s = load});
   }
 }
 
@@ -249,7 +249,7 @@
   if (const auto violation = ledger_.check_attempt(id, location, true, loop_.now())) {
     return violation;
   }
-  ledger_.begun(id, location, loop_.now());
+  ledger_.record_attempt_start(id, location, loop_.now());
   connections_.begin_attempt(request.handle, {.address = parse_address(endpoints_.address(request.host)),
                                               .timeout = timeouts.total,
                                               .connect_timeout = timeouts.connect});
@@ -285,7 +285,7 @@
   ++counters_.connections_migrated;
   spdlog::debug("connection_migrated host={}", request->host);
   const Handle handle = request->handle;
-  ledger_.answered(id);
+  ledger_.record_answer(id);
   request->client_done = true;
   on_attempt_ended(handle, {AttemptProgress::established, TerminationReason::cancelled});
   connections_.migrate(handle);
@@ -304,7 +304,7 @@
   if (violation) {
     report_violation("answer", id, violation);
   }
-  ledger_.answered(id);
+  ledger_.record_answer(id);
   release(id);
   if (!violation || failed_instead) {
     connections_.answer(handle, failed_instead ? kErrorLine : line);
@@ -334,7 +334,7 @@
     return;
   }
   request->between_attempts = false;
-  Duration timeout = request->reconnect->attempt_time(loop_.now());
+  Duration timeout = request->reconnect->attempt_timeout(loop_.now());
   if (shutdown_.in_progress()) {
     timeout = std::max<Duration>(1, std::min(timeout, shutdown_.answers_due() - loop_.now()));
   }
@@ -355,7 +355,7 @@
   const bool permitted = endpoints_.permits(request.host, EndpointUse::reconnect_later);
   const auto violation =
       ledger_.check_attempt(id_of(handle), endpoints_.location(request.host), permitted, loop_.now());
-  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), listed, random_.next_fraction());
+  std::optional<Duration> delay = request.reconnect->next_pause(loop_.now(), listed, random_.next_fraction());
   if (violation || shutdown_.in_progress()) {
     delay.reset();
   }
--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -1,5 +1,6 @@
-// Output of the load-balancing policy: what its caller is to do, in order, one small struct for each kind of
-// action. Plain values that own their strings; times are in ticks of 0.1 ms (base/time.h).
+// Output of the load-balancing policy: one struct for each kind of action, to be carried out by the caller in
+// the order of the list. Actions are plain values that own their strings; times are in ticks of 0.1 ms
+// (base/time.h).
 #pragma once
 #include <string>
 #include <variant>
@@ -8,7 +9,7 @@
 
 namespace dapplewharf {
 
-/// Open a connection to the endpoint for the request; give it up after the timeout.
+/// Open a connection to the endpoint for the request, and end the attempt after the timeout.
 struct StartAttempt {
   std::string request_id;
   std::string endpoint;
@@ -18,16 +19,16 @@
 /// Cancel the request's attempt that is in flight.
 struct CancelAttempt {
   std::string request_id;
-  int attempt = 0;
+  int attempt = 0;  // index among the request's attempts, from 0
 };
 
-/// Final answer: rejected, repeating the request is harmless.
+/// Final answer: rejected. The client may repeat the request without harm.
 struct RejectRequest {
   std::string request_id;
-  Duration retry_after = 0;  // when the client is to come back; 0: it is not told
+  Duration retry_after = 0;  // how long the client is to wait before it repeats; 0: the answer names no time
 };
 
-/// Final answer: failed, the request may have taken effect.
+/// Final answer: failed. The request may have taken effect.
 struct FailRequest {
   std::string request_id;
 };
@@ -35,7 +36,7 @@
 /// Tell the client of an established connection to reconnect, and close the connection.
 struct MigrateConnection {
   std::string request_id;
-  std::string endpoint;  // where the connection stands
+  std::string endpoint;  // which holds the connection
 };
 
 /// Send a health check to the endpoint.
@@ -43,16 +44,16 @@
   std::string endpoint;
 };
 
-/// Report TimerFired with this number after the delay. Timers are never cancelled.
+/// Pass TimerFired with this timer to the policy after the delay. Timers are never cancelled.
 struct SetTimer {
   int timer = 0;
   Duration delay = 0;
 };
 
-/// Subscribe to changes of the endpoint list; the complete list comes first.
+/// Subscribe to changes of the endpoint list; the service sends the complete list first.
 struct WatchEndpoints {};
 
-/// Ask for the endpoint list once.
+/// Call for the endpoint list once, without a subscription.
 struct FetchEndpoints {};
 
 /// Write a line to the decision log.
--- a/src/policy/adaptive_attempt_limit.cpp
+++ b/src/policy/adaptive_attempt_limit.cpp
@@ -1,4 +1,3 @@
-// Additive increase, multiplicative decrease; see the header.
 #include "policy/adaptive_attempt_limit.h"
 
 #include <algorithm>
@@ -7,13 +6,13 @@
 
 namespace dapplewharf {
 
-bool AdaptiveAttemptLimit::record_setup(const std::string& endpoint, bool is_good, int in_flight,
+bool AdaptiveAttemptLimit::record_setup(const std::string& endpoint, bool was_in_time, int in_flight,
                                         TimePoint now) {
-  std::erase_if(latest_results_, [now](const auto& entry) { return now - entry.second.at > kSecond; });
-  latest_results_[endpoint] = {now, is_good};
-  if (is_good) {
+  std::erase_if(latest_results_, [now](const auto& entry) { return now - entry.second.ended_at > kSecond; });
+  latest_results_[endpoint] = {now, was_in_time};
+  if (was_in_time) {
     max_in_flight_ += 1 / max_in_flight_;
-    last_good_at_ = now;
+    last_in_time_at_ = now;
     return false;
   }
   if (!shared_dependency_fails(now) || now - last_decrease_at_ < kTimerInterval * 2) {
@@ -29,12 +28,13 @@
 }
 
 bool AdaptiveAttemptLimit::shared_dependency_fails(TimePoint now) const {
-  // With few attempts in flight results come one by one, and each would be taken for its endpoint's fault.
-  if (is_active(now) && last_good_at_ < last_decrease_at_) {
+  // Once the limit leaves few attempts in flight, their results come one at a time and too few endpoints fail
+  // within a second for the count below. Until the next setup in time, failures are still the dependency's.
+  if (is_active(now) && last_in_time_at_ < last_decrease_at_) {
     return true;
   }
   const auto failing = std::count_if(latest_results_.begin(), latest_results_.end(),
-                                     [](const auto& entry) { return !entry.second.is_good; });
+                                     [](const auto& entry) { return !entry.second.was_in_time; });
   return failing >= kFailuresToDegrade && failing * 2 > static_cast<std::ptrdiff_t>(latest_results_.size());
 }
 
--- a/src/policy/adaptive_attempt_limit.h
+++ b/src/policy/adaptive_attempt_limit.h
@@ -1,7 +1,8 @@
-// The limit on attempts in flight while a dependency that all endpoints share (a store behind them) is slow
-// or full: then no endpoint is to blame, and the retries of all nodes would keep it full. Additive increase
-// with each good set-up, multiplicative decrease while most endpoints fail. Owns each endpoint's latest
-// set-up result; pure. Design: docs/design.md.
+// Limits the attempts in flight while a dependency that all endpoints share, such as a store, is slow or
+// overloaded. In that case the failures say nothing about the endpoints, and the retries of all nodes would
+// keep the dependency overloaded. The limit rises with each setup in time and is halved while most endpoints
+// fail (additive increase, multiplicative decrease). Owns the latest setup result of each endpoint; reads no
+// clock. Design: docs/design.md.
 #pragma once
 #include <map>
 #include <string>
@@ -10,30 +11,31 @@
 
 namespace dapplewharf {
 
-/// Learns from the results of this node's attempts whether most endpoints fail at once.
+/// Detects from the results of this node's attempts that most endpoints fail at the same time.
 class AdaptiveAttemptLimit {
  public:
-  /// Records the result of a set-up.
+  /// Records the result of a connection setup.
+  /// @param was_in_time the connection was established, and soon enough for its setup latency objective.
   /// @param in_flight attempts in flight, without the one that ended.
-  /// @return whether the limit takes effect with this result, which is worth a line in the log.
-  bool record_setup(const std::string& endpoint, bool is_good, int in_flight, TimePoint now);
-  /// Whether failures are the shared dependency's, so that no endpoint is to be blamed for one.
+  /// @return whether the limit takes effect with this result.
+  bool record_setup(const std::string& endpoint, bool was_in_time, int in_flight, TimePoint now);
+  /// Whether failed attempts are due to the shared dependency and must not count against their endpoints.
   [[nodiscard]] bool shared_dependency_fails(TimePoint now) const;
   /// Whether the limit is in effect.
   [[nodiscard]] bool is_active(TimePoint now) const;
-  /// Whether the limit is in effect and forbids one more attempt.
+  /// Whether the limit is in effect and another attempt would exceed it.
   [[nodiscard]] bool forbids_attempt(int in_flight, TimePoint now) const;
 
  private:
   struct SetupResult {
-    TimePoint at = 0;
-    bool is_good = false;
+    TimePoint ended_at = 0;
+    bool was_in_time = false;
   };
 
-  std::map<std::string, SetupResult> latest_results_;  // by endpoint, of the last second
-  double max_in_flight_ = 1;
-  TimePoint last_good_at_ = 0;
-  TimePoint last_decrease_at_ = 0;  // 0: none yet
+  std::map<std::string, SetupResult> latest_results_;  // by endpoint; those of the last second
+  double max_in_flight_ = 1;                           // the limit on attempts in flight
+  TimePoint last_in_time_at_ = 0;                      // of the latest setup in time; 0: none yet
+  TimePoint last_decrease_at_ = 0;                     // of the limit; 0: none yet
 };
 
 }  // namespace dapplewharf
--- a/src/policy/attempt_timeout.cpp
+++ b/src/policy/attempt_timeout.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::size_t kSetupTimesKept = 40;
-constexpr Duration kObjectiveDivisor = 3;  // of the objective, one part for each attempt
-constexpr Duration kUsualTimeMultiple =
-    3;  // an attempt within so many times the usual setup time is not given up
+constexpr Duration kAttemptsPerObjective = 3;  // that fit into the setup latency objective
+constexpr Duration kMinTimeoutMultiple =
+    3;  // the timeout is no shorter than this multiple of setup_time_p90()
 
 }  // namespace
 
@@ -19,8 +19,8 @@
   keep_last(setup_times_, setup_time, kSetupTimesKept);
 }
 
-// Nine in ten setups are no slower.
-Duration AttemptTimeout::usual_setup_time() const {
+// The 90th percentile of the recorded setup times; 0 if there are none.
+Duration AttemptTimeout::setup_time_p90() const {
   if (setup_times_.empty()) {
     return 0;
   }
@@ -29,10 +29,11 @@
   return sorted[sorted.size() * 9 / 10];
 }
 
-Duration AttemptTimeout::with_retry(Duration left, std::optional<Duration> objective) const {
-  const Duration wanted =
-      std::max(objective.value_or(left) / kObjectiveDivisor, kUsualTimeMultiple * usual_setup_time());
-  return std::clamp<Duration>(wanted, 1, std::max<Duration>(left, 1));
+Duration AttemptTimeout::timeout_before_retry(Duration time_left,
+                                              std::optional<Duration> setup_latency_objective) const {
+  const Duration timeout = std::max(setup_latency_objective.value_or(time_left) / kAttemptsPerObjective,
+                                    kMinTimeoutMultiple * setup_time_p90());
+  return std::clamp<Duration>(timeout, 1, std::max<Duration>(time_left, 1));
 }
 
 }  // namespace dapplewharf
--- a/src/policy/backoff.h
+++ b/src/policy/backoff.h
@@ -1,6 +1,6 @@
-// When the endpoint list service is asked: at the start, and again after calls that failed. The one place for
-// these waits, for the policy and the node. Owns two figures of the settings; reads no clock, draws no chance
-// and sends nothing. Times are in ticks of 0.1 ms, chance is from 0 to 1.
+// When the endpoint list service is called: at the start, and again after failed calls. The policy and the
+// node both take these waits from here. Pure: reads no clock, draws no random numbers and sends nothing.
+// Times are in ticks of 0.1 ms, random fractions from 0 to 1.
 #pragma once
 #include <algorithm>
 
@@ -8,44 +8,52 @@
 
 namespace dapplewharf {
 
+/// Computes the waits before calls to the endpoint list service.
 class Backoff {
  public:
-  // Whatever happened to earlier calls, a node counts as notified of a change kToldWithin after the service
-  // had it and could be reached. From the moment at which the service is back a node needs at most:
-  //   to notice that its current call is lost      kPatience
-  //   to wait before the next one                  kLongest
-  //   to be served after all other nodes' calls    kTurn, what is left
-  static constexpr Duration kToldWithin = 6 * kSecond;
-  static constexpr Duration kPatience = 2 * kSecond;  // for an answer that was not asked to wait
-  static constexpr Duration kLongest = 1500 * kMs;
-  static constexpr Duration kTurn = kToldWithin - kPatience - kLongest;
-  static constexpr Duration kFirst = 250 * kMs;  // after one failure; doubled with each further one
-  static constexpr Duration kLeast = 50 * kMs;   // a service that refuses at once is not asked without end
-  static constexpr Duration kShared =
-      40 * kMs;  // between the calls of nodes that start together, as far as kLongest allows
-
-  /// @param longest no wait is longer, where the settings allow less than kLongest.
-  Backoff(double nodes, Duration longest) : nodes_(nodes), longest_(std::clamp(longest, kLeast, kLongest)) {}
-
-  /// The wait before the first call. Nodes that start together share the service; until it has asked, a node
-  /// may send to endpoints that were removed long ago.
-  [[nodiscard]] Duration first(double chance) const {
-    return part(std::min(static_cast<double>(kShared) * nodes_, static_cast<double>(longest_)), chance);
+  // However earlier calls ended, a node counts as notified of a change kNotificationLimit after the service
+  // had the change and could be reached. Once the service is back, a node takes at most:
+  //   kResponseTimeout  to notice that its current call is lost
+  //   kMaxWait          to wait before the next call
+  //   kQueueingTime     to be served after the calls of all other nodes
+  static constexpr Duration kNotificationLimit = 6 * kSecond;
+  static constexpr Duration kResponseTimeout =
+      2 * kSecond;  // except for watches, which the service may hold open
+  static constexpr Duration kMaxWait = 1500 * kMs;
+  static constexpr Duration kQueueingTime = kNotificationLimit - kResponseTimeout - kMaxWait;
+  static constexpr Duration kInitialWait = 250 * kMs;  // after one failure; doubles with each further one
+  static constexpr Duration kMinWait =
+      50 * kMs;  // limits the rate of calls to a service that refuses at once
+  // Mean interval between the calls of nodes that start together, unless kMaxWait leaves less.
+  static constexpr Duration kStartSpacing = 40 * kMs;
+
+  /// @param node_count nodes that share the service.
+  /// @param max_wait no wait is longer; values outside kMinWait to kMaxWait are clamped.
+  Backoff(double node_count, Duration max_wait)
+      : node_count_(node_count), max_wait_(std::clamp(max_wait, kMinWait, kMaxWait)) {}
+
+  /// The wait before the first call. It is short because until that call a node may send requests to
+  /// endpoints that have been removed, and random because nodes that start together share the service.
+  [[nodiscard]] Duration initial_wait(double random_fraction) const {
+    return share_of(
+        std::min(static_cast<double>(kStartSpacing) * node_count_, static_cast<double>(max_wait_)),
+        random_fraction);
   }
-  /// The wait after so many failed calls in a row, 1 at the least; random, so that nodes that failed together
-  /// do not ask together.
-  [[nodiscard]] Duration again(int losses, double chance) const {
-    const Duration grown = std::min(kFirst << std::clamp(losses - 1, 0, 8), longest_);
-    return std::max(kLeast, part(static_cast<double>(grown), 0.5 + chance / 2));
+  /// The wait after failed calls; random, so that nodes whose calls failed together don't call together
+  /// again.
+  /// @param failures failed calls in a row, at least 1.
+  [[nodiscard]] Duration retry_wait(int failures, double random_fraction) const {
+    const Duration backoff = std::min(kInitialWait << std::clamp(failures - 1, 0, 8), max_wait_);
+    return std::max(kMinWait, share_of(static_cast<double>(backoff), 0.5 + random_fraction / 2));
   }
 
  private:
-  [[nodiscard]] static Duration part(double span, double share) {
-    return static_cast<Duration>(span * share);
+  [[nodiscard]] static Duration share_of(double duration, double share) {
+    return static_cast<Duration>(duration * share);
   }
 
-  double nodes_;
-  Duration longest_;
+  double node_count_;
+  Duration max_wait_;
 };
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint.cpp
+++ b/src/policy/endpoint.cpp
@@ -71,15 +71,15 @@
 void Endpoint::handle(const EndpointListed& message) {
   fleet_ = message.fleet;
   const EndpointEntry& entry = message.entry;
-  const bool restarted = was_listed_ && entry.started > slow_start_.started();
+  const bool restarted = was_listed_ && entry.started_at > slow_start_.started();
   status_.zone = entry.zone;
   status_.cell = entry.cell;
-  status_.machine_type = entry.kind;
+  status_.machine_type = entry.machine_type;
   status_.size = entry.size > 0 ? entry.size : 1;
   if (message.connections) {
     status_.connections_elsewhere = std::max(0.0, *message.connections - status_.open_connections);
   }
-  slow_start_.set_started(entry.started);
+  slow_start_.set_started(entry.started_at);
   if (entry.state != EndpointState::healthy) {
     leave_service(entry.state);
     return;
@@ -153,7 +153,7 @@
 // health checks decide on an endpoint that is removed without a drain; the first check is due at once.
 void Endpoint::leave_service(EndpointState state) {
   const bool removed_without_drain = state == EndpointState::removed && state_ == EndpointState::healthy;
-  if (removed_without_drain && context_.settings.only_drains_bind) {
+  if (removed_without_drain && context_.settings.may_use_removed_endpoints) {
     if (!std::exchange(removal_unconfirmed_, true)) {
       check_schedule_.check_now(context_.now);
       context_.log("removal_left_to_health_checks endpoint=" + id_);
@@ -233,7 +233,7 @@
   const bool may_wait = !candidates.is_mid_connection &&
                         candidates.deadline - context_.now > kMinTimeToWait &&
                         candidates.passed_over < kMaxEndpointsPassedOver;
-  return may_wait && context_.settings.load_report_index && !check_schedule_.checked_recently(context_.now) &&
+  return may_wait && context_.settings.load_value_index && !check_schedule_.checked_recently(context_.now) &&
          (check_schedule_.in_flight() || may_check_health());
 }
 
@@ -275,9 +275,9 @@
 }
 
 void Endpoint::record_reported_load(const HealthCheckEnded& check) {
-  const std::optional<std::size_t> index = context_.settings.load_report_index;
-  const bool reported = index && *index < check.report.size();
-  status_.reported_load = reported ? check.report[*index] : -1;
+  const std::optional<std::size_t> index = context_.settings.load_value_index;
+  const bool reported = index && *index < check.reported_values.size();
+  status_.reported_load = reported ? check.reported_values[*index] : -1;
   status_.headroom_until =
       reported && status_.reported_load < kFullLoad ? context_.now + kSteadyHealthCheckInterval : 0;
 }
--- a/src/policy/endpoint_list_watch.cpp
+++ b/src/policy/endpoint_list_watch.cpp
@@ -8,63 +8,65 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kSilentAfter = 3 * kSecond;
-constexpr double kLatestAsk = 0.7;  // of the time after which this node counts as notified
+constexpr Duration kSilentAfter = 3 * kSecond;  // from the first failed call, besides the nodes' turns
+constexpr double kMaxWaitShare = 0.7;           // of Settings::notification_limit
 
-// Where little time is allowed for asking, the longest wait would take all of it: it is bounded by that time.
-Backoff backoff_of(const Settings& settings) {
-  const double longest =
-      settings.notified_within > 0 ? kLatestAsk * static_cast<double>(settings.notified_within) : kNever;
-  return {settings.node_count, static_cast<Duration>(longest)};
+// The longest wait of Backoff alone could exceed a short notification limit, so a share of the limit bounds
+// it.
+Backoff backoff_for(const Settings& settings) {
+  const double max_wait = settings.notification_limit > 0
+                              ? kMaxWaitShare * static_cast<double>(settings.notification_limit)
+                              : kNever;
+  return {settings.node_count, static_cast<Duration>(max_wait)};
 }
 
 }  // namespace
 
-bool EndpointListWatch::received() {
+bool EndpointListWatch::record_list() {
   return !std::exchange(has_list_, true);
 }
 
-void EndpointListWatch::started_from_cache(TimePoint now, double chance) {
-  ask_at_ = now + backoff_of(settings_).first(chance);
+void EndpointListWatch::schedule_first_call(TimePoint now, double random_fraction) {
+  next_call_at_ = now + backoff_for(settings_).initial_wait(random_fraction);
 }
 
-void EndpointListWatch::answered() {
-  losses_ = 0;
-  lost_at_ = 0;
+void EndpointListWatch::record_answer() {
+  failures_ = 0;
+  first_failure_at_ = 0;
 }
 
-void EndpointListWatch::failed(TimePoint now, double chance) {
-  ++losses_;
-  watching_ = false;
-  if (lost_at_ == 0) {
-    lost_at_ = now;
+void EndpointListWatch::record_failure(TimePoint now, double random_fraction) {
+  ++failures_;
+  is_watching_ = false;
+  if (first_failure_at_ == 0) {
+    first_failure_at_ = now;
   }
-  ask_at_ = now + backoff_of(settings_).again(losses_, chance);
+  next_call_at_ = now + backoff_for(settings_).retry_wait(failures_, random_fraction);
 }
 
-bool EndpointListWatch::may_ask() const {
-  return has_list_ && !watching_ && settings_.polls_endpoints;
+bool EndpointListWatch::needs_call() const {
+  return has_list_ && !is_watching_ && settings_.polls_endpoint_list;
 }
 
-bool EndpointListWatch::ask(TimePoint now) {
-  if (!may_ask() || now < ask_at_) {
+bool EndpointListWatch::start_call_if_due(TimePoint now) {
+  if (!needs_call() || now < next_call_at_) {
     return false;
   }
-  watching_ = true;
+  is_watching_ = true;
   return true;
 }
 
-TimePoint EndpointListWatch::next_ask() const {
-  return may_ask() ? ask_at_ : kNever;
+TimePoint EndpointListWatch::next_call_at() const {
+  return needs_call() ? next_call_at_ : kNever;
 }
 
 TimePoint EndpointListWatch::silent_from() const {
-  if (lost_at_ <= 0) {
+  if (first_failure_at_ <= 0) {
     return kNever;
   }
-  const double turn = std::min(kLatestAsk * static_cast<double>(settings_.notified_within),
-                               static_cast<double>(Backoff::kShared) * settings_.node_count);
-  return lost_at_ + kSilentAfter + static_cast<Duration>(turn) + 1;
+  const double spacing = std::min(kMaxWaitShare * static_cast<double>(settings_.notification_limit),
+                                  static_cast<double>(Backoff::kStartSpacing) * settings_.node_count);
+  return first_failure_at_ + kSilentAfter + static_cast<Duration>(spacing) + 1;
 }
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint_list_watch.h
+++ b/src/policy/endpoint_list_watch.h
@@ -1,46 +1,49 @@
-// Keeps the watch on the endpoint list alive: when the list service is asked, again after lost calls with
-// backoff (policy/backoff.h), and from when on the list counts as silent. Owns what became of the last calls.
-// Pure: the caller gives the time and the chance; times are in ticks of 0.1 ms.
+// Keeps the watch on the endpoint list alive: when the list service is called, how long to wait after failed
+// calls (policy/backoff.h), and from when on the list counts as silent, that is without answers for too long.
+// Owns the results of the last calls. Pure: the caller passes the time and random fractions; times are in
+// ticks of 0.1 ms.
 #pragma once
 #include "base/time.h"
 #include "policy/settings.h"
 
 namespace dapplewharf {
 
+/// The state of this node's watch on the endpoint list.
 class EndpointListWatch {
  public:
-  /// @param settings are read at each call and have to outlive this object.
+  /// @param settings are read at each call and must outlive this object.
   explicit EndpointListWatch(const Settings& settings) : settings_(settings) {}
 
-  /// A list has been received, cached or from the service.
+  /// Records that a list has been received, cached or from the service.
   /// @return whether it is the first one.
-  bool received();
-  /// The cached list is known; the service is asked after a pause.
-  /// @param chance from 0 to 1.
-  void started_from_cache(TimePoint now, double chance);
-  /// The service has answered.
-  void answered();
-  /// A call failed or the watch broke.
-  /// @param chance from 0 to 1.
-  void failed(TimePoint now, double chance);
-
-  /// Whether the service is to be asked now; if so the watch counts as asked for.
-  bool ask(TimePoint now);
-
-  /// When `ask` says yes next; kNever if nothing is to be asked.
-  [[nodiscard]] TimePoint next_ask() const;
-  /// From when on the list counts as silent unless it answers before; kNever while it answers.
+  bool record_list();
+  /// Schedules the first call to the service, after a cached list has been received.
+  /// @param random_fraction from 0 to 1.
+  void schedule_first_call(TimePoint now, double random_fraction);
+  /// Records that the service has answered.
+  void record_answer();
+  /// Records that a call failed or the watch broke, and schedules the next call.
+  /// @param random_fraction from 0 to 1.
+  void record_failure(TimePoint now, double random_fraction);
+
+  /// Whether the service is to be called now. If so, the call counts as started.
+  bool start_call_if_due(TimePoint now);
+
+  /// When the next call is due; kNever if none is.
+  [[nodiscard]] TimePoint next_call_at() const;
+  /// From when on the list counts as silent unless the service answers before; kNever if the last call did
+  /// not fail.
   [[nodiscard]] TimePoint silent_from() const;
 
  private:
-  [[nodiscard]] bool may_ask() const;
+  [[nodiscard]] bool needs_call() const;
 
   const Settings& settings_;
   bool has_list_ = false;
-  bool watching_ = false;
-  int losses_ = 0;         // calls that failed in a row
-  TimePoint lost_at_ = 0;  // when the first of them failed; 0: none did
-  TimePoint ask_at_ = 0;
+  bool is_watching_ = false;        // a call has been started and has not failed
+  int failures_ = 0;                // failed calls in a row
+  TimePoint first_failure_at_ = 0;  // of those; 0: none
+  TimePoint next_call_at_ = 0;
 };
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -157,7 +157,7 @@
   }
   const bool is_surge = fleet.surge_rate > 0;
   if (context_.settings.cross_zone_price <= kDearZoneCrossing) {
-    return is_surge || fleet.mean_reported_load > kBusyLoad || !context_.settings.load_report_index;
+    return is_surge || fleet.mean_reported_load > kBusyLoad || !context_.settings.load_value_index;
   }
   return is_surge && query.shortage;
 }
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -25,22 +25,22 @@
 
 void EndpointSet::handle(const EndpointsCached& message) {
   replace_list(message.endpoints);
-  list_watch_.started_from_cache(context_.now, context_.random.next_fraction());
+  list_watch_.schedule_first_call(context_.now, context_.random.next_fraction());
   ask_for_list();
 }
 
 void EndpointSet::handle(const EndpointsSnapshot& message) {
-  list_watch_.answered();
+  list_watch_.record_answer();
   replace_list(message.endpoints);
 }
 
 void EndpointSet::handle(const EndpointsUpdate& message) {
-  list_watch_.answered();
+  list_watch_.record_answer();
   update_list(message.endpoints);
 }
 
 void EndpointSet::handle(const EndpointWatchFailed& /*message*/) {
-  list_watch_.failed(context_.now, context_.random.next_fraction());
+  list_watch_.record_failure(context_.now, context_.random.next_fraction());
 }
 
 void EndpointSet::handle(const ShutdownStarted& /*message*/) {
@@ -88,7 +88,7 @@
 void EndpointSet::replace_list(const std::vector<EndpointEntry>& entries) {
   std::set<std::string> removed = listed_;
   for (const EndpointEntry& entry : entries) {
-    removed.erase(entry.host);
+    removed.erase(entry.id);
   }
   update_list(entries);
   for (const std::string& endpoint : removed) {
@@ -98,15 +98,15 @@
 
 void EndpointSet::update_list(const std::vector<EndpointEntry>& entries) {
   const FleetStatistics fleet = statistics();
-  const bool is_first = list_watch_.received();
+  const bool is_first = list_watch_.record_list();
   std::vector<std::string> named;
   for (const EndpointEntry& entry : entries) {
-    EndpointListed message{entry, fleet, std::nullopt, !is_first && !listed_.count(entry.host)};
+    EndpointListed message{entry, fleet, std::nullopt, !is_first && !listed_.count(entry.id)};
     if (context_.settings.weights_follow_load) {
       separate_load_from_weight(message);
     }
-    named.push_back(entry.host);
-    context_.post_to_endpoint(entry.host, std::move(message));
+    named.push_back(entry.id);
+    context_.post_to_endpoint(entry.id, std::move(message));
   }
   listed_.insert(named.begin(), named.end());
   if (is_first) {
@@ -119,7 +119,7 @@
 // connections all nodes hold there.
 void EndpointSet::separate_load_from_weight(EndpointListed& message) {
   EndpointEntry& entry = message.entry;
-  double& largest = largest_weight_[entry.kind];
+  double& largest = largest_weight_[entry.machine_type];
   largest = std::max(largest, entry.size);
   if (entry.size > 0) {
     message.connections = largest * (largest / entry.size - 1);
@@ -130,7 +130,7 @@
 }
 
 void EndpointSet::ask_for_list() {
-  if (list_watch_.ask(context_.now)) {
+  if (list_watch_.start_call_if_due(context_.now)) {
     context_.act(WatchEndpoints{});
   }
 }
@@ -153,7 +153,7 @@
   if (freeze_to_check_ || shutdown_at_ > 0) {
     due = context_.now;
   }
-  due = std::min(due, list_watch_.next_ask());
+  due = std::min(due, list_watch_.next_call_at());
   if (!weights_frozen_) {
     due = std::min(due, list_watch_.silent_from());
   }
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -1,6 +1,6 @@
-// Input of the load-balancing policy: what happened since the last call, one small struct for each kind of
-// event. Producers are the node (src/node), the simulator's adapter (src/sim_adapter) and the emulator
-// (src/emulator). Plain values that own their strings; times are monotonic and in ticks of 0.1 ms
+// Input of the load-balancing policy: one struct for each kind of event that has happened since the last
+// call. The node (src/node), the simulator's adapter (src/sim_adapter) and the emulator (src/emulator)
+// produce them. Events are plain values that own their strings; times are monotonic and in ticks of 0.1 ms
 // (base/time.h).
 #pragma once
 #include <cstdint>
@@ -17,37 +17,37 @@
 
 /// One endpoint as the endpoint list service describes it.
 struct EndpointEntry {
-  std::string host;  // the endpoint's id
+  std::string id;
   std::string zone;
   std::int64_t cell = 0;
   EndpointState state = EndpointState::healthy;
-  double size = 1;        // relative capacity; with load-following weights: what is left of it
-  TimePoint started = 0;  // 0: long ago
-  std::string kind{};     // machine type; endpoints of one type have one size
+  double size = 1;             // relative capacity; if weights follow load, the part of it that is not in use
+  TimePoint started_at = 0;    // 0: unknown, or long before the list was read
+  std::string machine_type{};  // endpoints of one type have the same capacity
 };
 
 /// How a connection attempt, an established connection or a health check ended.
 enum class Outcome {
   succeeded,
   error,            // the endpoint answered with an error
-  rejected,         // the endpoint refused the request by its own word
-  timed_out,        // sent, and not answered in time
-  connect_failed,   // the request never reached the endpoint
+  rejected,         // the endpoint answered that it refuses the request
+  timed_out,        // sent, but not answered in time
+  connect_failed,   // no connection to the endpoint; the request was not sent
   connection_lost,  // the connection broke after the request was sent
   cancelled,        // ended by this node or by the client
-  not_sent,         // this machine could not send; says nothing of the endpoint
-  withdrawn         // dropped before its first byte: the endpoint was announced as draining meanwhile
+  not_sent,         // a local fault kept this machine from sending; tells nothing about the endpoint
+  withdrawn         // given up before its first byte, because the endpoint was announced as draining
 };
 
 /// The name of an outcome for logs, for example "timed_out".
 [[nodiscard]] const char* name_of(Outcome outcome);
 
-/// The endpoint list as this node last held it, before the service has been asked.
+/// The endpoint list that this node held before it last stopped; the list service has not been called yet.
 struct EndpointsCached {
   std::vector<EndpointEntry> endpoints;
 };
 
-/// The complete endpoint list; whatever it does not name has been removed.
+/// The complete endpoint list; endpoints that it does not name have been removed.
 struct EndpointsSnapshot {
   std::vector<EndpointEntry> endpoints;
 };
@@ -57,25 +57,26 @@
   std::vector<EndpointEntry> endpoints;
 };
 
-/// A call to the endpoint list service failed, or its watch broke.
+/// A call to the endpoint list service failed, or the watch on it broke.
 struct EndpointWatchFailed {};
 
 /// This node shuts down soon; its connections have to migrate.
 struct ShutdownStarted {
-  TimePoint answer_by = 0;  // when every request must have been answered; 0: no such limit
+  TimePoint answer_deadline = 0;  // by when every request must have been answered; 0: no limit
 };
 
-/// What is known of a client's request, whether it is new or stood before this node started.
+/// The attributes of a client's request, or of an adopted connection: one that was open before this node
+/// started.
 struct RequestAttributes {
   std::string id;
   std::string traffic_type;
   std::string tenant;
   std::optional<std::int64_t> client_key;      // session affinity key
-  std::optional<std::int64_t> affinity_group;  // requests of one group share work at an endpoint
+  std::optional<std::int64_t> affinity_group;  // requests of one group cost less work at the same endpoint
   TimePoint deadline = 0;                      // when the client gives up
-  bool is_mid_connection = false;              // resumes a connection whose endpoint holds its state
-  bool is_migrated = false;                    // the client comes back after a migration or a break
-  bool is_retry = false;                       // the client repeats a request by itself
+  bool is_mid_connection = false;              // resumes a connection whose state an endpoint holds
+  bool is_migrated = false;  // the client reconnects after a migration or a broken connection
+  bool is_retry = false;     // the client repeats an earlier request of its own accord
 };
 
 /// A client wants a connection.
@@ -83,7 +84,7 @@
   RequestAttributes request;
 };
 
-/// A connection that stood at an endpoint when this node started.
+/// A connection that was open at an endpoint before this node started.
 struct ConnectionAdopted {
   RequestAttributes request;
   std::string endpoint;
@@ -94,7 +95,7 @@
 struct AttemptEstablished {
   std::string request_id;
   std::string endpoint;
-  int attempt = 0;  // 0: the request's first
+  int attempt = 0;  // index among the request's attempts, from 0
   Duration setup_time = 0;
 };
 
@@ -112,12 +113,12 @@
 struct LoadReported {
   std::string request_id;
   std::string endpoint;
-  double work = 0;  // microseconds of processor time a second
+  double work_us_per_s = 0;  // microseconds of processor time a second
 };
 
 /// How long messages take at an endpoint.
 struct LatencyReported {
-  std::string request_id;  // a connection that stands there; empty where none of this node's does
+  std::string request_id;  // a connection to the endpoint; empty if this node has none
   std::string endpoint;
   double latency = 0;  // ticks of 0.1 ms, with fractions
 };
@@ -144,13 +145,13 @@
   std::string endpoint;
   Outcome outcome = Outcome::succeeded;
   Duration duration = 0;
-  std::vector<double> report;  // figures that the endpoint reports of itself; Settings says which is its load
+  std::vector<double> reported_values;  // reported by the endpoint; Settings::load_value_index names its load
 };
 
-/// What other nodes hold at an endpoint, as they said by gossip.
+/// How many connections other nodes hold at an endpoint, as they reported by gossip.
 struct GossipReceived {
   std::string endpoint;
-  std::optional<double> connections_elsewhere;  // nothing: no longer known
+  std::optional<double> connections_elsewhere;  // absent: no longer known
 };
 
 using PolicyEvent = std::variant<EndpointsCached, EndpointsSnapshot, EndpointsUpdate, EndpointWatchFailed,
--- a/src/policy/fleet_statistics.cpp
+++ b/src/policy/fleet_statistics.cpp
@@ -105,7 +105,7 @@
 // Where few requests arrive, health checks at the usual rate would cost more than the service is worth; the
 // checks before an admission and the messages' latencies watch the endpoints there too.
 Duration FleetStatisticsCollector::health_check_interval(int endpoints, TimePoint now) const {
-  if (!settings_.load_report_index || arrivals_.empty()) {
+  if (!settings_.load_value_index || arrivals_.empty()) {
     return 0;
   }
   return static_cast<Duration>(settings_.health_check_price * endpoints / kHealthCheckShare /
@@ -126,7 +126,7 @@
     // With no endpoint of the own zone at weight a mean of nothing would close the others to a surge that
     // they have room for.
     fleet.mean_connections = totals.own_zone.size > 0 ? totals.own_zone.mean() : totals.all.mean();
-    fleet.quota_per_size = settings_.granted_connections() / totals.all.size;
+    fleet.quota_per_size = settings_.total_connection_quota() / totals.all.size;
   }
   if (totals.own_zone_all_nodes.size > 0) {
     fleet.mean_connections_all_nodes = totals.own_zone_all_nodes.mean();
--- a/src/policy/message_latency.cpp
+++ b/src/policy/message_latency.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 double MessageLatency::objective() const {
-  return static_cast<double>(settings_.shortest_message_objective);
+  return static_cast<double>(settings_.min_message_latency_objective);
 }
 
 void MessageLatency::record(TimePoint now, double latency, int open_connections) {
--- a/src/policy/reconnect_policy.h
+++ b/src/policy/reconnect_policy.h
@@ -1,7 +1,7 @@
-// When a connection that stood at an endpoint before this node started is connected there again. Such a
-// connection belongs to that endpoint alone, so no endpoint is chosen; what is decided here is the time of
-// each attempt and the pause before the next one. Whether another attempt is allowed at all is
-// RequestLedger's to say. Pure: the caller gives the time and the chance; times are in ticks of 0.1 ms.
+// When an adopted connection, one that was open at an endpoint before this node started, is connected there
+// again. Only that endpoint holds the connection's state, so no endpoint is chosen; this policy decides the
+// timeout of each attempt and the pause before the next one. RequestLedger decides whether another attempt is
+// allowed at all. Pure: the caller passes the time and random fractions; times are in ticks of 0.1 ms.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -10,47 +10,54 @@
 
 namespace dapplewharf {
 
+/// The reconnection of one adopted connection.
 class ReconnectPolicy {
  public:
-  // An adopted connection that is not established after this time counts as lost (protocol).
-  static constexpr Duration kAllowed = 40 * kSecond;
-  // The first attempt's time, to connect and be answered; doubled with each further one. Allows for two lost
-  // SYNs.
-  static constexpr Duration kFirstAttempt = 4 * kSecond;
-  static constexpr Duration kLongestAttempt = 16 * kSecond;
-  static constexpr Duration kFirstPause = 20 * kMs;
-  static constexpr Duration kLongestPause = kSecond;
-  // For an endpoint that no list names: a client that named a wrong one is to have its error soon.
-  static constexpr Duration kUnlisted = 2 * kSecond;
-
-  ReconnectPolicy(Duration begun, Duration client_waits)
-      : until_(begun + std::min(client_waits, kAllowed)), begun_(begun) {}
-
-  [[nodiscard]] Duration until() const { return until_; }
-
-  /// The timeout of an attempt that begins now.
-  [[nodiscard]] Duration attempt_time(Duration now) const {
-    const Duration grown = std::min(kFirstAttempt << std::min(ended_, 4), kLongestAttempt);
-    return std::clamp<Duration>(until_ - now, 1, grown);
+  // The protocol counts an adopted connection as lost if it is not established within this time.
+  static constexpr Duration kReconnectTimeout = 40 * kSecond;
+  // For the first attempt to connect and be answered; doubles with each further attempt. Long enough for two
+  // lost SYNs.
+  static constexpr Duration kInitialAttemptTimeout = 4 * kSecond;
+  static constexpr Duration kMaxAttemptTimeout = 16 * kSecond;
+  static constexpr Duration kInitialPause = 20 * kMs;
+  static constexpr Duration kMaxPause = kSecond;
+  // If no endpoint list names the endpoint: a client that named a wrong endpoint gets its error soon.
+  static constexpr Duration kUnlistedEndpointTimeout = 2 * kSecond;
+
+  /// @param started_at when the reconnection starts.
+  /// @param client_timeout how long the client waits from then on.
+  ReconnectPolicy(TimePoint started_at, Duration client_timeout)
+      : deadline_(started_at + std::min(client_timeout, kReconnectTimeout)), started_at_(started_at) {}
+
+  [[nodiscard]] TimePoint deadline() const { return deadline_; }
+
+  /// The timeout of an attempt that starts now.
+  [[nodiscard]] Duration attempt_timeout(TimePoint now) const {
+    const Duration backoff =
+        std::min(kInitialAttemptTimeout << std::min(ended_attempts_, 4), kMaxAttemptTimeout);
+    return std::clamp<Duration>(deadline_ - now, 1, backoff);
   }
 
-  /// The pause after an attempt that has ended; nothing when none can follow.
-  /// @param listed a list names the endpoint.
-  /// @param chance from 0 to 1, so that nodes that failed together do not come back together.
-  [[nodiscard]] std::optional<Duration> pause(Duration now, bool listed, double chance) {
-    const Duration grown = std::min(kFirstPause << std::min(ended_, 10), kLongestPause);
-    ++ended_;
-    const Duration span = grown / 2 + static_cast<Duration>(static_cast<double>(grown / 2) * chance);
-    const Duration last = listed ? until_ : std::min(until_, begun_ + kUnlisted);
-    if (now + span >= last) {
+  /// Records the end of an attempt.
+  /// @param is_listed an endpoint list names the endpoint.
+  /// @param random_fraction from 0 to 1; spreads the attempts of nodes whose attempts failed together.
+  /// @return the pause before the next attempt; nothing if no time is left for one.
+  [[nodiscard]] std::optional<Duration> next_pause(TimePoint now, bool is_listed, double random_fraction) {
+    const Duration backoff = std::min(kInitialPause << std::min(ended_attempts_, 10), kMaxPause);
+    ++ended_attempts_;
+    const Duration pause =
+        backoff / 2 + static_cast<Duration>(static_cast<double>(backoff / 2) * random_fraction);
+    const TimePoint last_start =
+        is_listed ? deadline_ : std::min(deadline_, started_at_ + kUnlistedEndpointTimeout);
+    if (now + pause >= last_start) {
       return std::nullopt;
     }
-    return span;
+    return pause;
   }
 
  private:
-  Duration until_, begun_;
-  int ended_ = 0;  // attempts
+  TimePoint deadline_, started_at_;
+  int ended_attempts_ = 0;
 };
 
 }  // namespace dapplewharf
--- a/src/policy/request_ledger.cpp
+++ b/src/policy/request_ledger.cpp
@@ -1,4 +1,3 @@
-// The checks of each step of a request; see the header.
 #include "policy/request_ledger.h"
 
 #include <algorithm>
@@ -8,8 +7,9 @@
 
 namespace {
 
-std::optional<Violation> check_repeat_of(const RepeatRule& rule, std::span<const Attempt> attempts,
-                                         const EndpointLocation& target, TimePoint now) {
+// check_repeat with its obstacle as a violation.
+std::optional<Violation> repeat_violation(const RepeatRule& rule, std::span<const Attempt> attempts,
+                                          const EndpointLocation& target, TimePoint now) {
   const std::optional<RepeatObstacle> obstacle = check_repeat(rule, attempts, target, now);
   if (!obstacle) {
     return std::nullopt;
@@ -36,11 +36,11 @@
     case Violation::past_deadline:
       return "past its deadline";
     case Violation::attempt_in_flight:
-      return "another attempt is out";
+      return "another attempt is in flight";
     case Violation::may_have_run:
       return "an earlier attempt may have run";
     case Violation::endpoint_leaving:
-      return "its host is leaving";
+      return "its endpoint is leaving";
   }
   return "unknown";
 }
@@ -49,9 +49,9 @@
   requests_[id] = {rule, deadline, false, false, {}};
 }
 
-void RequestLedger::client_left(const std::string& id) {
+void RequestLedger::record_client_disconnect(const std::string& id) {
   if (const auto found = requests_.find(id); found != requests_.end()) {
-    found->second.client_gone = true;
+    found->second.is_client_gone = true;
   }
 }
 
@@ -61,68 +61,69 @@
   }
 }
 
-std::optional<Violation> RequestLedger::check_awaits_answer(const Record& request) {
-  if (request.client_gone) {
+std::optional<Violation> RequestLedger::check_client_is_waiting(const Record& request) {
+  if (request.is_client_gone) {
     return Violation::client_gone;
   }
-  if (request.answered) {
+  if (request.is_answered) {
     return Violation::already_answered;
   }
   return std::nullopt;
 }
 
 std::optional<Violation> RequestLedger::check_attempt(const std::string& id, const EndpointLocation& target,
-                                                      bool allowed_by_list, TimePoint now) const {
+                                                      bool is_allowed_by_list, TimePoint now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
     return Violation::unknown_request;
   }
   const Record& request = found->second;
-  if (const auto violation = check_awaits_answer(request)) {
+  if (const auto violation = check_client_is_waiting(request)) {
     return violation;
   }
   if (now >= request.deadline) {
     return Violation::past_deadline;
   }
-  if (const auto violation = check_repeat_of(request.rule, request.attempts, target, now)) {
+  if (const auto violation = repeat_violation(request.rule, request.attempts, target, now)) {
     return violation;
   }
-  if (!allowed_by_list) {
+  if (!is_allowed_by_list) {
     return Violation::endpoint_leaving;
   }
   return std::nullopt;
 }
 
-std::optional<Violation> RequestLedger::check_send(const std::string& id, bool allowed_by_list,
+std::optional<Violation> RequestLedger::check_send(const std::string& id, bool is_allowed_by_list,
                                                    TimePoint now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.attempts.empty()) {
     return Violation::unknown_request;
   }
   const Record& request = found->second;
-  if (const auto violation = check_awaits_answer(request)) {
+  if (const auto violation = check_client_is_waiting(request)) {
     return violation;
   }
-  if (!allowed_by_list) {
+  if (!is_allowed_by_list) {
     return Violation::endpoint_leaving;
   }
   const std::span<const Attempt> attempts(request.attempts);
-  return check_repeat_of(request.rule, attempts.first(attempts.size() - 1), attempts.back().location, now);
+  return repeat_violation(request.rule, attempts.first(attempts.size() - 1), attempts.back().location, now);
 }
 
-void RequestLedger::begun(const std::string& id, const EndpointLocation& target, TimePoint now) {
+void RequestLedger::record_attempt_start(const std::string& id, const EndpointLocation& target,
+                                         TimePoint now) {
   if (const auto found = requests_.find(id); found != requests_.end()) {
     found->second.attempts.push_back({target, now, true, true});
   }
 }
 
-void RequestLedger::ended(const std::string& id, bool may_have_run) {
+void RequestLedger::record_attempt_end(const std::string& id, bool may_have_run) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.attempts.empty()) {
     return;
   }
   Attempt& latest = found->second.attempts.back();
-  latest.in_flight = false;
+  latest.is_in_flight = false;
   latest.may_have_run = may_have_run;
 }
 
@@ -132,11 +133,11 @@
     return Violation::unknown_request;
   }
   const Record& request = found->second;
-  if (request.client_gone) {
+  if (request.is_client_gone) {
     return Violation::client_gone;
   }
-  // An established connection has been answered with UP and may still be told to move.
-  if (request.answered && answer != FinalAnswer::move) {
+  // An established connection has already been answered with UP, and its client may still be sent MOVE.
+  if (request.is_answered && answer != FinalAnswer::move) {
     return Violation::already_answered;
   }
   if (answer == FinalAnswer::busy && !may_be_rejected(request.rule, request.attempts)) {
@@ -145,9 +146,9 @@
   return std::nullopt;
 }
 
-void RequestLedger::answered(const std::string& id) {
+void RequestLedger::record_answer(const std::string& id) {
   if (const auto found = requests_.find(id); found != requests_.end()) {
-    found->second.answered = true;
+    found->second.is_answered = true;
   }
 }
 
@@ -156,9 +157,9 @@
   if (found == requests_.end()) {
     return false;
   }
-  const bool is_owed_answer = !found->second.answered && !found->second.client_gone;
+  const bool is_awaiting_answer = !found->second.is_answered && !found->second.is_client_gone;
   requests_.erase(found);
-  return is_owed_answer;
+  return is_awaiting_answer;
 }
 
 }  // namespace dapplewharf
--- a/src/policy/request_ledger.h
+++ b/src/policy/request_ledger.h
@@ -1,13 +1,15 @@
-// What this node has done with each request, and the check of every step on its way to the sockets against
-// the rules of docs/design.md ("The four rules") that concern one request:
-//   - One final answer, then silence: a request gets exactly one unless its client has gone; no attempt
-//     starts after it, after the deadline or while another attempt is in flight.
-//   - No effect twice: what may have run is repeated only where the repeat is dropped (retry_policy.h).
-//   - Drains: nothing new goes to an endpoint that leaves.
-// The fourth rule, on endpoints in slow start, is kept by the decisions alone.
-// The ledger stands behind the decisions (LoadBalancer, ReconnectPolicy): what it refuses is not done, and
-// its caller counts and logs the violation. Owns the record of attempts by request id; pure, with the
-// caller's clock in ticks of 0.1 ms. Design: docs/design.md.
+// Records the attempts and the final answer of each request of this node, and checks each attempt and answer
+// before it is sent against those of the four rules in docs/design.md that concern a single request:
+//   - One final answer: a request gets exactly one unless its client has disconnected. No attempt starts
+//   after it,
+//     after the deadline or while another attempt is in flight.
+//   - No effect twice: a request that may have run is repeated only at an endpoint that drops the repeat
+//     (retry_policy.h).
+//   - Drains: no new request is sent to an endpoint that drains or has been removed.
+// The fourth rule, on endpoints in slow start, is not checked here; the policy's decisions alone keep it.
+// The ledger checks the decisions of LoadBalancer and ReconnectPolicy once more: its caller does not carry
+// out a step that violates a rule, but counts and logs the violation. Reads no clock; times are in ticks of
+// 0.1 ms.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -20,54 +22,55 @@
 
 namespace dapplewharf {
 
+/// The final answers on the wire.
 enum class FinalAnswer { up, busy, error, move };
 
-/// The rule that a step would have broken.
+/// Why a step is not allowed.
 enum class Violation {
   unknown_request,
   already_answered,
   client_gone,
   past_deadline,
   attempt_in_flight,
-  may_have_run,  // an earlier attempt may have run, and a repeat would not be dropped
-  endpoint_leaving,
+  may_have_run,      // an earlier attempt may have run, and the endpoint would not drop the repeat
+  endpoint_leaving,  // it drains or has been removed
 };
 
 /// The text of a violation for logs, for example "client gone".
 [[nodiscard]] const char* name_of(Violation violation);
 
-/// The record of all requests that this node holds. Every check returns nothing when the step is allowed.
+/// The records of all requests that this node holds. Every check returns nothing if the step is allowed.
 class RequestLedger {
  public:
-  /// Begins the record of a request.
-  /// @param deadline when its client has stopped waiting.
+  /// Opens the record of a request.
+  /// @param deadline when its client gives up.
   void open(const std::string& id, const RepeatRule& rule, TimePoint deadline);
-  /// The client of this request has closed its connection.
-  void client_left(const std::string& id);
-  /// Brings all deadlines forward to this one at the latest, because the process ends then.
+  /// Records that the client of this request has disconnected.
+  void record_client_disconnect(const std::string& id);
+  /// Lowers all later deadlines to this one, because the process ends then.
   void expire_by(TimePoint deadline);
 
   /// Whether an attempt may be started.
-  /// @param allowed_by_list the endpoint is neither draining nor removed, or may be sent this all the same.
+  /// @param is_allowed_by_list the endpoint is neither draining nor removed, or may still get this request.
   [[nodiscard]] std::optional<Violation> check_attempt(const std::string& id, const EndpointLocation& target,
-                                                       bool allowed_by_list, TimePoint now) const;
-  /// Whether the attempt in flight may send its first byte: connecting may have taken so long that what
-  /// allowed the attempt no longer holds.
-  [[nodiscard]] std::optional<Violation> check_send(const std::string& id, bool allowed_by_list,
+                                                       bool is_allowed_by_list, TimePoint now) const;
+  /// Whether the attempt in flight may send its first byte. This is checked again because connecting takes
+  /// time, in which the deduplication window may end or the endpoint may start to drain.
+  [[nodiscard]] std::optional<Violation> check_send(const std::string& id, bool is_allowed_by_list,
                                                     TimePoint now) const;
-  /// An attempt has been started.
-  void begun(const std::string& id, const EndpointLocation& target, TimePoint now);
-  /// The latest attempt has ended.
-  void ended(const std::string& id, bool may_have_run);
+  /// Records that an attempt has been started.
+  void record_attempt_start(const std::string& id, const EndpointLocation& target, TimePoint now);
+  /// Records that the latest attempt has ended.
+  void record_attempt_end(const std::string& id, bool may_have_run);
 
-  /// Whether a final answer may be given. `up` and `move` follow an established attempt; `busy` says that a
-  /// repeat is harmless.
+  /// Whether a final answer may be sent. `up` and `move` follow an established attempt; `busy` tells the
+  /// client that a repeat does no harm.
   [[nodiscard]] std::optional<Violation> check_answer(const std::string& id, FinalAnswer answer) const;
-  /// The final answer has been given.
-  void answered(const std::string& id);
+  /// Records that the final answer has been sent.
+  void record_answer(const std::string& id);
 
-  /// Ends the record of a request.
-  /// @return whether it was owed an answer that nobody gave.
+  /// Closes the record of a request.
+  /// @return whether its client is still waiting for the final answer.
   bool close(const std::string& id);
   [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
@@ -75,12 +78,12 @@
   struct Record {
     RepeatRule rule;
     TimePoint deadline = 0;
-    bool answered = false;
-    bool client_gone = false;
+    bool is_answered = false;
+    bool is_client_gone = false;
     std::vector<Attempt> attempts;
   };
-  /// What stands against an attempt of this request because its client awaits no answer any more.
-  [[nodiscard]] static std::optional<Violation> check_awaits_answer(const Record& request);
+  /// Returns a violation if the client is not waiting for an answer any more.
+  [[nodiscard]] static std::optional<Violation> check_client_is_waiting(const Record& request);
 
   std::unordered_map<std::string, Record> requests_;
 };
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -11,24 +11,24 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kStalledAfter = 3 * kSecond;  // an unanswered message: nobody serves its connection
+constexpr Duration kStallTimeout = 3 * kSecond;  // of an unanswered message; then its connection migrates
 constexpr Duration kMigrationWindow = kSecond;   // of the migration budget
-constexpr double kHashRange = 4294967296.0;      // 2^32, of the upper half of a hash
-constexpr double kLeastRetryAfterShare = 0.2;    // of the longest Retry-After
+constexpr double kHashRange = 4294967296.0;      // 2^32; the upper half of a hash is below it
+constexpr double kMinRetryAfterShare = 0.2;      // of Settings::max_retry_after
 
 }  // namespace
 
 void RequestTable::read(const RequestTableMessage& message) {
-  std::visit([this](const auto& one) { handle(one); }, message);
+  std::visit([this](const auto& typed_message) { handle(typed_message); }, message);
 }
 
-// An answer that is due only after this node's end would never be given.
+// Lowers the deadlines to the node's shutdown: an answer due after it would never be sent.
 void RequestTable::handle(const ShutdownStarted& event) {
-  if (event.answer_by <= 0) {
+  if (event.answer_deadline <= 0) {
     return;
   }
   for (auto& [id, request] : requests_) {
-    request.attributes.deadline = std::min(request.attributes.deadline, event.answer_by);
+    request.attributes.deadline = std::min(request.attributes.deadline, event.answer_deadline);
   }
 }
 
@@ -36,7 +36,7 @@
   Request& request = open_request(event.request);
   retry_budget_.record_arrival(context_.settings.retry_budget, context_.now);
   select_endpoints(request);
-  forget_if_done(event.request.id);
+  remove_if_done(event.request.id);
 }
 
 void RequestTable::handle(const ConnectionAdopted& event) {
@@ -48,67 +48,69 @@
 }
 
 void RequestTable::handle(const AttemptEstablished& event) {
-  if (Request* request = find(event.request_id)) {
+  if (Request* request = find_request(event.request_id)) {
     establish(*request, event);
   }
-  forget_if_done(event.request_id);
+  remove_if_done(event.request_id);
 }
 
 void RequestTable::handle(const AttemptEnded& event) {
-  if (Request* request = find(event.request_id)) {
+  if (Request* request = find_request(event.request_id)) {
     end_attempt(*request, event);
   }
-  forget_if_done(event.request_id);
+  remove_if_done(event.request_id);
 }
 
-// Only endpoints' own load reports count.
+// Ignored: the policy uses only the load that endpoints report in health checks.
 void RequestTable::handle(const LoadReported& /*event*/) {}
 
 void RequestTable::handle(const LatencyReported& event) {
-  if (find(event.request_id)) {
+  if (find_request(event.request_id)) {
     context_.post_to_endpoint(event.endpoint, LatencyObserved{event.latency});
   }
 }
 
-// A connection that hangs though its endpoint serves others, or while weights are frozen, is migrated by
-// itself.
+// A stalled connection is migrated alone, even if its endpoint serves other connections or weights are
+// frozen.
 void RequestTable::handle(const RequestStalled& event) {
-  Request* request = find(event.request_id);
-  if (request && request->is_established && !request->is_answered && event.unanswered_for >= kStalledAfter) {
+  Request* request = find_request(event.request_id);
+  if (request && request->is_established && !request->is_answered && event.unanswered_for >= kStallTimeout) {
     migrate(*request);
   }
 }
 
 void RequestTable::handle(const ClientDisconnected& event) {
-  if (Request* request = find(event.request_id)) {
+  if (Request* request = find_request(event.request_id)) {
     request->is_answered = true;
   }
-  forget_if_done(event.request_id);
+  remove_if_done(event.request_id);
 }
 
 void RequestTable::handle(const CandidateList& candidates) {
   ask_next_candidate(candidates, true);
-  forget_if_done(candidates.request_id);
+  remove_if_done(candidates.request_id);
 }
 
 void RequestTable::handle(const Declined& declined) {
   ask_next_candidate(declined.candidates, false);
-  forget_if_done(declined.candidates.request_id);
+  remove_if_done(declined.candidates.request_id);
 }
 
 void RequestTable::handle(const Admitted& admitted) {
   start_attempt(admitted.request_id, admitted.endpoint);
-  forget_if_done(admitted.request_id);
+  remove_if_done(admitted.request_id);
 }
 
 void RequestTable::handle(const MigrateConnections& message) {
-  std::erase_if(migrations_, [this](TimePoint when) { return context_.now - when >= kMigrationWindow; });
+  std::erase_if(migrated_at_,
+                [this](TimePoint migrated_at) { return context_.now - migrated_at >= kMigrationWindow; });
   for (auto& [id, request] : requests_) {
-    if (!is_to_migrate(request, message)) {
+    if (!should_migrate(request, message)) {
       continue;
     }
-    // Connections that migrate faster than other endpoints have room for would only migrate again.
-    if (static_cast<int>(migrations_.size()) >= message.budget) {
+    // Without this budget more connections would migrate than other endpoints have room for, and these would
+    // migrate again.
+    if (static_cast<int>(migrated_at_.size()) >= message.budget) {
       return;
     }
     migrate(request);
@@ -125,18 +127,19 @@
   return request;
 }
 
-Request* RequestTable::find(const std::string& id) {
+Request* RequestTable::find_request(const std::string& id) {
   const auto found = requests_.find(id);
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-void RequestTable::forget_if_done(const std::string& id) {
+void RequestTable::remove_if_done(const std::string& id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || !found->second.is_answered) {
     return;
   }
   const std::vector<Attempt>& attempts = found->second.attempts;
-  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& one) { return one.in_flight; })) {
+  if (std::none_of(attempts.begin(), attempts.end(),
+                   [](const Attempt& attempt) { return attempt.is_in_flight; })) {
     requests_.erase(found);
   }
 }
@@ -148,19 +151,19 @@
 
 void RequestTable::establish(Request& request, const AttemptEstablished& event) {
   request.is_pending = false;
-  if (!std::exchange(request.is_established, true)) {  // an adopted connection was no attempt of this node
+  if (!std::exchange(request.is_established, true)) {  // an adopted connection did not count as in flight
     --attempts_in_flight_;
   }
   attempt_timeout_.record_setup(event.setup_time);
-  const Duration longest_good = setup_latency_objective(request).value_or(0) / 2;
-  const bool in_time = event.setup_time <= longest_good;
-  record_setup(event.endpoint, in_time);
+  const Duration max_setup_time = setup_latency_objective(request).value_or(0) / 2;
+  const bool was_in_time = event.setup_time <= max_setup_time;
+  record_setup(event.endpoint, was_in_time);
   context_.post_to_endpoint(
-      event.endpoint, AttemptSucceeded{in_time || attempt_limit_.shared_dependency_fails(context_.now)});
+      event.endpoint, AttemptSucceeded{was_in_time || attempt_limit_.shared_dependency_fails(context_.now)});
 }
 
-void RequestTable::record_setup(const std::string& endpoint, bool is_good) {
-  if (attempt_limit_.record_setup(endpoint, is_good, attempts_in_flight_, context_.now)) {
+void RequestTable::record_setup(const std::string& endpoint, bool was_in_time) {
+  if (attempt_limit_.record_setup(endpoint, was_in_time, attempts_in_flight_, context_.now)) {
     context_.log("shared_dependency_failing attempts_in_flight=" + std::to_string(attempts_in_flight_));
   }
 }
@@ -170,7 +173,7 @@
     return;
   }
   Attempt& attempt = request.attempts[static_cast<std::size_t>(event.attempt)];
-  if (!std::exchange(attempt.in_flight, false)) {
+  if (!std::exchange(attempt.is_in_flight, false)) {
     return;
   }
   attempt.may_have_run = may_have_run(event.outcome);
@@ -181,7 +184,7 @@
     --attempts_in_flight_;
   }
   const Outcome outcome = outcome_for_endpoint(request, attempt, event.outcome);
-  context_.post_to_endpoint(attempt.location.host, AttemptFinished{outcome, request.is_established});
+  context_.post_to_endpoint(attempt.location.endpoint, AttemptFinished{outcome, request.is_established});
   if (event.is_final || request.is_established) {
     request.is_answered = true;
   }
@@ -190,11 +193,11 @@
   }
 }
 
-// An endpoint that begins to drain while the connection is set up does not use up one of the request's
-// attempts.
+// An attempt that was withdrawn because its endpoint started to drain doesn't count against the request's
+// attempts or the retry budget.
 void RequestTable::withdraw_attempt(Request& request, const Attempt& attempt) {
   --attempts_in_flight_;
-  context_.post_to_endpoint(attempt.location.host, AttemptFinished{Outcome::withdrawn, false});
+  context_.post_to_endpoint(attempt.location.endpoint, AttemptFinished{Outcome::withdrawn, false});
   if (request.attempts.size() > 1) {
     retry_budget_.withdraw_retry();
   }
@@ -204,18 +207,18 @@
   }
 }
 
-// While a dependency behind all endpoints fails, no endpoint is blamed for an attempt that failed. One that
-// could not be connected to is down by itself, whatever lies behind the others.
+// The outcome that counts against the endpoint. While a shared dependency fails, failed attempts don't count
+// against their endpoints, except failures to connect, which are the endpoint's own.
 Outcome RequestTable::outcome_for_endpoint(const Request& request, const Attempt& attempt, Outcome outcome) {
   if (request.is_established || outcome == Outcome::cancelled || outcome == Outcome::not_sent ||
       outcome == Outcome::connect_failed) {
     return outcome;
   }
-  record_setup(attempt.location.host, false);
+  record_setup(attempt.location.endpoint, false);
   return attempt_limit_.shared_dependency_fails(context_.now) ? Outcome::cancelled : outcome;
 }
 
-// Whether the request may have an attempt, its first or another one.
+// Whether the request's deadline, its number of attempts and its repeat rule allow another attempt.
 bool RequestTable::may_attempt(const Request& request) const {
   if (request.is_answered || request.is_established || context_.now >= request.attributes.deadline) {
     return false;
@@ -230,27 +233,28 @@
   return retry_budget_.allows_retry(context_.settings.retry_budget, context_.now);
 }
 
-// Requests beyond their tenant's quota are rejected first while endpoints are short. A quota under one
-// connection a node would shut its tenant out, so a few connections over it are allowed.
+// Whether the request exceeds its tenant's share of connections at this node; during a surge such requests
+// are rejected first. A few connections above the share are allowed: a share below one connection would
+// otherwise reject all of a tenant's requests.
 bool RequestTable::is_over_quota(const Request& request) const {
   const Tenant* tenant = context_.settings.find_tenant(request.attributes.tenant);
-  const double quota = tenant ? tenant->connections.value_or(0) / context_.settings.node_count : 0;
-  const auto open = std::count_if(requests_.begin(), requests_.end(), [&](const auto& one) {
-    const Request& other = one.second;
+  const double quota = tenant ? tenant->connection_quota.value_or(0) / context_.settings.node_count : 0;
+  const auto open = std::count_if(requests_.begin(), requests_.end(), [&](const auto& entry) {
+    const Request& other = entry.second;
     return !other.is_answered && other.is_established && other.attributes.tenant == request.attributes.tenant;
   });
   return quota > 0 && static_cast<double>(open) + 1 >= quota + kConnectionsOverMean;
 }
 
-// Begins the search for an endpoint, for a first attempt or a retry, or gives the final answer where none may
+// Queries candidates for the request's first attempt or a retry; sends the final answer if no attempt may
 // follow.
 void RequestTable::select_endpoints(Request& request) {
   if (!may_attempt(request) || attempt_limit_.forbids_attempt(attempts_in_flight_, context_.now)) {
-    return answer_finally(request);
+    return send_final_answer(request);
   }
-  // The budget is asked for a first attempt too, so that what is older than its window is dropped.
+  // The call comes first, for first attempts too, because it discards the records that have left the window.
   if (!budget_allows_retry() && !request.attempts.empty()) {
-    return answer_finally(request);
+    return send_final_answer(request);
   }
   auto query = std::make_shared<SelectionQuery>();
   query->request = request.attributes;
@@ -258,35 +262,35 @@
     for (const auto& [id, other] : requests_) {
       if (other.is_established && !other.is_answered &&
           other.attributes.affinity_group == request.attributes.affinity_group) {
-        query->affinity_endpoints.insert(other.attempts.back().location.host);
+        query->affinity_endpoints.insert(other.attempts.back().location.endpoint);
         ++query->group_connections;
       }
     }
   }
   for (const Attempt& earlier : request.attempts) {
-    query->tried.push_back(earlier.location.host);
+    query->tried.push_back(earlier.location.endpoint);
     if (request.repeat_rule.idempotency == Idempotency::deduplicated && earlier.may_have_run) {
-      query->deduplicating_endpoint = earlier.location.host;
+      query->deduplicating_endpoint = earlier.location.endpoint;
     }
   }
   query->scope = request.repeat_rule.scope;
-  query->shortage = shortage_at_ && context_.now - *shortage_at_ < kConditionHeld;
+  query->shortage = last_shortage_at_ && context_.now - *last_shortage_at_ < kConditionHeld;
   context_.post_to_endpoint_set(SelectEndpoints{std::move(query), {}});
 }
 
 void RequestTable::ask_next_candidate(const CandidateList& candidates, bool is_first) {
-  Request* request = find(candidates.request_id);
+  Request* request = find_request(candidates.request_id);
   if (!request || request->is_answered) {
     return;
   }
   const bool is_surge = candidates.fleet.surge_rate > 0;
-  const bool none_left = candidates.asked >= candidates.endpoints->size();
-  if (is_surge && none_left) {
-    shortage_at_ = context_.now;
+  const bool no_candidate_left = candidates.asked >= candidates.endpoints->size();
+  if (is_surge && no_candidate_left) {
+    last_shortage_at_ = context_.now;
   }
-  const bool gives_way = is_first && is_surge && is_over_quota(*request);
-  if (gives_way || none_left || context_.now >= request->attributes.deadline) {
-    return answer_finally(*request);
+  const bool is_shed = is_first && is_surge && is_over_quota(*request);
+  if (is_shed || no_candidate_left || context_.now >= request->attributes.deadline) {
+    return send_final_answer(*request);
   }
   const std::string& endpoint = (*candidates.endpoints)[candidates.asked];
   AdmissionRequest message{candidates};
@@ -297,34 +301,36 @@
 void RequestTable::start_attempt(const std::string& id, const std::string& endpoint) {
   Request& request = requests_[id];
   if (!request.attempts.empty()) {
-    if (!budget_allows_retry()) {  // spent since the candidates were selected; the endpoint has counted the
-                                   // attempt
+    // Other retries may have used up the budget since the candidates were selected. The endpoint has already
+    // counted the attempt, so it is told that it ended.
+    if (!budget_allows_retry()) {
       context_.post_to_endpoint(endpoint, AttemptFinished{Outcome::not_sent, false});
-      return answer_finally(request);
+      return send_final_answer(request);
     }
     retry_budget_.record_retry(context_.now);
   }
   request.attempts.push_back({{endpoint, {}, {}}, context_.now, true, true});
   ++attempts_in_flight_;
-  context_.act(StartAttempt{id, endpoint, timeout_of(request)});
+  context_.act(StartAttempt{id, endpoint, attempt_timeout(request)});
 }
 
-// An attempt that no other may follow gets all the time that is left. So does one behind a dependency that
-// fails: given up early, its work is done for nobody, and its retry adds to the load.
-Duration RequestTable::timeout_of(const Request& request) const {
-  const Duration left = request.attributes.deadline - context_.now;
+// An attempt that no retry may follow gets all the time that is left. So does any attempt while a shared
+// dependency fails: a shorter timeout would discard work that the dependency does anyway, and the retry would
+// add to its load.
+Duration RequestTable::attempt_timeout(const Request& request) const {
+  const Duration time_left = request.attributes.deadline - context_.now;
   const bool is_last = static_cast<double>(request.attempts.size()) >= context_.settings.max_attempts ||
                        request.repeat_rule.idempotency == Idempotency::non_idempotent ||
                        request.attributes.is_mid_connection;
   if (is_last || attempt_limit_.is_active(context_.now)) {
-    return left;
+    return time_left;
   }
-  return attempt_timeout_.with_retry(left, setup_latency_objective(request));
+  return attempt_timeout_.timeout_before_retry(time_left, setup_latency_objective(request));
 }
 
-// The policy's one place for final answers to requests that were not established. Clients that were all told
-// the same Retry-After would come back together, so it is drawn at random.
-void RequestTable::answer_finally(Request& request) {
+// All final answers to requests that were not established are sent from here. Retry-After is random, because
+// clients with the same one would all repeat at the same time.
+void RequestTable::send_final_answer(Request& request) {
   if (std::exchange(request.is_answered, true)) {
     return;
   }
@@ -333,37 +339,41 @@
     return context_.act(FailRequest{id});
   }
   const Settings& settings = context_.settings;
-  const auto longest = static_cast<double>(settings.retry_after_allowed ? settings.max_retry_after : 0);
-  const double share = kLeastRetryAfterShare + (1 - kLeastRetryAfterShare) * context_.random.next_fraction();
-  context_.act(RejectRequest{id, static_cast<Duration>(longest * share)});
+  const auto max_retry_after =
+      static_cast<double>(settings.retry_after_allowed ? settings.max_retry_after : 0);
+  const double share = kMinRetryAfterShare + (1 - kMinRetryAfterShare) * context_.random.next_fraction();
+  context_.act(RejectRequest{id, static_cast<Duration>(max_retry_after * share)});
 }
 
-// Whole groups migrate, the same at every node, so that a group's work is not done at two endpoints. A
-// group's hash says when it goes: a least number from each of many nodes would clear an endpoint at once.
-bool RequestTable::is_to_migrate(const Request& request, const MigrateConnections& message) const {
+// Whether the connection belongs to the share that is to migrate. The hash of its affinity group or client
+// key decides, so that all nodes migrate the same groups and no group's work is done at two endpoints. The
+// message names a share rather than a number of connections: a number would be at least one at each node, and
+// many nodes would then clear an endpoint at once.
+bool RequestTable::should_migrate(const Request& request, const MigrateConnections& message) const {
   if (!request.is_established || request.is_answered) {
     return false;
   }
   const std::string& endpoint = message.endpoint;
-  if (!endpoint.empty() && request.attempts.back().location.host != endpoint) {
+  if (!endpoint.empty() && request.attempts.back().location.endpoint != endpoint) {
     return false;
   }
-  // A connection that its endpoint has not confirmed yet would be ended by a fault that may pass.
+  // An adopted connection that its endpoint has not confirmed is not migrated for a fault, which may be
+  // transient: migration would end the connection.
   if (request.is_pending && !endpoint.empty() && !message.endpoint_is_leaving) {
     return false;
   }
   const RequestAttributes& attributes = request.attributes;
   const std::optional<std::int64_t>& key =
       attributes.affinity_group && message.whole_groups ? attributes.affinity_group : attributes.client_key;
-  const std::uint64_t group = hash(key ? static_cast<std::uint64_t>(*key) : hash(attributes.id));
-  return static_cast<double>(hash(group ^ hash(endpoint)) >> 32) < message.share * kHashRange;
+  const std::uint64_t group_hash = hash(key ? static_cast<std::uint64_t>(*key) : hash(attributes.id));
+  return static_cast<double>(hash(group_hash ^ hash(endpoint)) >> 32) < message.share * kHashRange;
 }
 
-// The client comes back as a new request.
+// The client's reconnection is a new request, so this one counts as answered.
 void RequestTable::migrate(Request& request) {
   request.is_answered = true;
-  context_.act(MigrateConnection{request.attributes.id, request.attempts.back().location.host});
-  migrations_.push_back(context_.now);
+  context_.act(MigrateConnection{request.attributes.id, request.attempts.back().location.endpoint});
+  migrated_at_.push_back(context_.now);
 }
 
 }  // namespace dapplewharf
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -1,8 +1,8 @@
-// Requests in flight and the connections that they became: their attempts, their deadline and their one final
-// answer. The table chooses no endpoint: it asks the endpoint set and the selector for candidates, then one
-// endpoint after the other for admission. It keeps two of the four rules (docs/design.md): every request gets
-// exactly one final answer before its deadline, and no effect happens twice (policy/retry_policy). Times are
-// in ticks of 0.1 ms.
+// The requests of this node and the connections that they became, each with its attempts, its deadline and
+// its final answer. The table chooses no endpoint: it queries the endpoint set and the selector for a list of
+// candidates, then asks these endpoints for admission one at a time. It keeps two of the four rules in
+// docs/design.md: every request gets exactly one final answer before its deadline, and no request takes
+// effect twice (policy/retry_policy). Times are in ticks of 0.1 ms.
 #pragma once
 #include <deque>
 #include <map>
@@ -24,15 +24,16 @@
   RepeatRule repeat_rule;
   std::vector<Attempt> attempts;
   bool is_established = false;
-  bool is_answered = false;  // finally; kept until its last attempt has ended
-  bool is_pending = false;   // adopted, and its endpoint has not confirmed it yet
+  bool is_answered = false;  // finally, or its client has disconnected; kept until its last attempt has ended
+  bool is_pending = false;   // adopted, and the endpoint has not confirmed it yet
 };
 
+/// All requests of this node, by id.
 class RequestTable {
  public:
   explicit RequestTable(PolicyContext& context) : context_(context) {}
 
-  /// Handles one message; posts to endpoints and the endpoint set, and decides on actions.
+  /// Handles one message. May post messages to endpoints and the endpoint set, and add actions.
   void read(const RequestTableMessage& message);
 
  private:
@@ -51,8 +52,8 @@
   void handle(const MigrateConnections& message);
 
   Request& open_request(const RequestAttributes& attributes);
-  Request* find(const std::string& id);
-  void forget_if_done(const std::string& id);
+  Request* find_request(const std::string& id);
+  void remove_if_done(const std::string& id);
   [[nodiscard]] std::optional<Duration> setup_latency_objective(const Request& request) const;
 
   void establish(Request& request, const AttemptEstablished& event);
@@ -67,10 +68,10 @@
   void select_endpoints(Request& request);
   void ask_next_candidate(const CandidateList& candidates, bool is_first);
   void start_attempt(const std::string& id, const std::string& endpoint);
-  [[nodiscard]] Duration timeout_of(const Request& request) const;
-  void answer_finally(Request& request);
+  [[nodiscard]] Duration attempt_timeout(const Request& request) const;
+  void send_final_answer(Request& request);
 
-  [[nodiscard]] bool is_to_migrate(const Request& request, const MigrateConnections& message) const;
+  [[nodiscard]] bool should_migrate(const Request& request, const MigrateConnections& message) const;
   void migrate(Request& request);
 
   PolicyContext& context_;
@@ -78,9 +79,9 @@
   RetryBudget retry_budget_;
   AdaptiveAttemptLimit attempt_limit_;
   AttemptTimeout attempt_timeout_;
-  int attempts_in_flight_ = 0;            // without established connections
-  std::optional<TimePoint> shortage_at_;  // when a request last found no endpoint during a surge
-  std::deque<TimePoint> migrations_;      // of the last second
+  int attempts_in_flight_ = 0;                 // without established connections
+  std::optional<TimePoint> last_shortage_at_;  // when a request last found no endpoint during a surge
+  std::deque<TimePoint> migrated_at_;          // migrations within the last second
 };
 
 }  // namespace dapplewharf
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -1,4 +1,3 @@
-// The count of arrivals and retries; see the header.
 #include "policy/retry_budget.h"
 
 namespace dapplewharf {
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -1,6 +1,6 @@
-// The retry budget of one node: how many retries all its requests may take together within a window. Without
-// it every failure would be answered by a retry, and the trouble of one endpoint would become load on all
-// others. Owns the times of recent arrivals and retries; pure. Design: docs/design.md.
+// The retry budget of one node: a limit on the retries of all its requests together within a window. Without
+// it every failure would cause a retry, and the faults of one endpoint would become load on all others. Owns
+// the times of recent arrivals and retries; reads no clock. Design: docs/design.md.
 #pragma once
 #include <deque>
 #include <optional>
@@ -10,17 +10,18 @@
 
 namespace dapplewharf {
 
-/// Counts arrivals and retries within the window of RetryBudgetSettings. Without settings nothing is limited.
+/// Counts arrivals and retries within the window of RetryBudgetSettings. Without settings retries are not
+/// limited.
 class RetryBudget {
  public:
   /// A request has arrived.
   void record_arrival(const std::optional<RetryBudgetSettings>& settings, TimePoint now);
   /// A retry has been started.
   void record_retry(TimePoint now);
-  /// The latest retry was withdrawn before its first byte.
+  /// The latest retry was withdrawn before its first byte and doesn't count.
   void withdraw_retry();
-  /// Whether one more retry may be started. At both ends of the window the count errs on the side of fewer
-  /// retries.
+  /// Whether another retry may be started. At the edge of the window arrivals expire one tick early and
+  /// retries one tick late, so that the limit is never exceeded.
   [[nodiscard]] bool allows_retry(const std::optional<RetryBudgetSettings>& settings, TimePoint now);
 
  private:
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -1,4 +1,3 @@
-// The rules on repeats; see the header.
 #include "policy/retry_policy.h"
 
 #include <algorithm>
@@ -7,6 +6,7 @@
 
 namespace {
 
+// Whether a repeat has no effect beyond that of this earlier attempt.
 bool is_repeat_harmless(const RepeatRule& rule, const Attempt& earlier,
                         const std::optional<EndpointLocation>& target, TimePoint now) {
   if (!earlier.may_have_run || rule.idempotency == Idempotency::idempotent) {
@@ -15,10 +15,10 @@
   if (rule.idempotency == Idempotency::non_idempotent) {
     return false;
   }
-  if (now - earlier.sent + kRepeatMargin >= rule.window) {
+  if (now - earlier.started_at + kRepeatMargin >= rule.window) {
     return false;
   }
-  return !target || earlier.location.host == target->host ||
+  return !target || earlier.location.endpoint == target->endpoint ||
          is_in_scope(rule.scope, earlier.location.zone, earlier.location.cell, target->zone, target->cell);
 }
 
@@ -57,7 +57,7 @@
 std::optional<RepeatObstacle> check_repeat(const RepeatRule& rule, std::span<const Attempt> attempts,
                                            const std::optional<EndpointLocation>& target, TimePoint now) {
   for (const Attempt& earlier : attempts) {
-    if (earlier.in_flight) {
+    if (earlier.is_in_flight) {
       return RepeatObstacle::attempt_in_flight;
     }
     if (!is_repeat_harmless(rule, earlier, target, now)) {
@@ -68,13 +68,13 @@
 }
 
 bool may_be_rejected(const RepeatRule& rule, std::span<const Attempt> attempts) {
-  const bool is_dropped_anywhere =
+  const bool is_deduplicated_everywhere =
       rule.idempotency == Idempotency::deduplicated && rule.scope == DeduplicationScope::all;
-  if (rule.idempotency == Idempotency::idempotent || is_dropped_anywhere) {
+  if (rule.idempotency == Idempotency::idempotent || is_deduplicated_everywhere) {
     return true;
   }
   return std::none_of(attempts.begin(), attempts.end(),
-                      [](const Attempt& earlier) { return earlier.in_flight || earlier.may_have_run; });
+                      [](const Attempt& earlier) { return earlier.is_in_flight || earlier.may_have_run; });
 }
 
 }  // namespace dapplewharf
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -5,10 +5,11 @@
 namespace dapplewharf {
 namespace {
 
-template <class Named>
-const Named* find_by_name(const std::vector<Named>& all, const std::string& name) {
-  const auto found = std::find_if(all.begin(), all.end(), [&](const Named& one) { return one.name == name; });
-  return found == all.end() ? nullptr : &*found;
+template <class Element>
+const Element* find_by_name(const std::vector<Element>& elements, const std::string& name) {
+  const auto found = std::find_if(elements.begin(), elements.end(),
+                                  [&](const Element& element) { return element.name == name; });
+  return found == elements.end() ? nullptr : &*found;
 }
 
 }  // namespace
@@ -31,10 +32,10 @@
   return find_by_name(tenants, name);
 }
 
-double Settings::granted_connections() const {
+double Settings::total_connection_quota() const {
   double sum = 0;
   for (const Tenant& tenant : tenants) {
-    sum += tenant.connections.value_or(0);
+    sum += tenant.connection_quota.value_or(0);
   }
   return sum;
 }
@@ -44,8 +45,8 @@
     return std::nullopt;
   }
   Duration longest = *traffic.front().deadline;
-  for (const TrafficClass& one : traffic) {
-    longest = std::max(longest, one.deadline.value_or(longest));
+  for (const TrafficClass& traffic_class : traffic) {
+    longest = std::max(longest, traffic_class.deadline.value_or(longest));
   }
   return longest;
 }
--- a/src/sim_adapter/action_writer.h
+++ b/src/sim_adapter/action_writer.h
@@ -1,6 +1,6 @@
-// Writes the policy's actions as the simulator's wire wants them. The one place where actions are mapped to
-// the simulator's words. Writes straight into the reply's buffer: what a decision costs is measured around
-// this program.
+// Writes the policy's actions as JSON in the simulator's wire format. Only this file knows the simulator's
+// names for actions. It writes straight into the reply's buffer, without a JSON tree, because the simulator
+// counts this program's processor time as the cost of its decisions.
 #pragma once
 #include <charconv>
 #include <cstdint>
@@ -12,88 +12,99 @@
 
 namespace dapplewharf {
 
-/// Appends actions and values to a reply that outlives it; fields in the order of their names.
+/// Appends actions and values to a reply, which must outlive the writer. The fields of an action are in
+/// alphabetical order.
 class ActionWriter {
  public:
-  explicit ActionWriter(std::string& out) : out_(out) {}
+  explicit ActionWriter(std::string& reply) : reply_(reply) {}
 
   void write(const StartAttempt& action) {
-    open("host", action.endpoint)
-        .next("limitMs", milliseconds(action.timeout))
-        .next("req", action.request_id)
-        .verb("Attempt");
+    begin_object("host", action.endpoint)
+        .add_field("limitMs", milliseconds(action.timeout))
+        .add_field("req", action.request_id)
+        .end_with_verb("Attempt");
   }
   void write(const CancelAttempt& action) {
-    open("n", action.attempt).next("req", action.request_id).verb("UndoSend");
+    begin_object("n", action.attempt).add_field("req", action.request_id).end_with_verb("UndoSend");
   }
   void write(const RejectRequest& action) {
-    open("backoffMs", milliseconds(action.retry_after)).next("req", action.request_id).verb("Decline");
+    begin_object("backoffMs", milliseconds(action.retry_after))
+        .add_field("req", action.request_id)
+        .end_with_verb("Decline");
   }
-  void write(const FailRequest& action) { open("req", action.request_id).verb("ReportFailure"); }
-  void write(const MigrateConnection& action) { open("req", action.request_id).verb("Migrate"); }
-  void write(const CheckHealth& action) { open("host", action.endpoint).verb("Ping"); }
+  void write(const FailRequest& action) {
+    begin_object("req", action.request_id).end_with_verb("ReportFailure");
+  }
+  void write(const MigrateConnection& action) {
+    begin_object("req", action.request_id).end_with_verb("Migrate");
+  }
+  void write(const CheckHealth& action) { begin_object("host", action.endpoint).end_with_verb("Ping"); }
   void write(const SetTimer& action) {
-    open("fromNowMs", milliseconds(action.delay)).next("handle", action.timer).verb("Remind");
+    begin_object("fromNowMs", milliseconds(action.delay))
+        .add_field("handle", action.timer)
+        .end_with_verb("Remind");
   }
-  void write(const WatchEndpoints& /*action*/) { open("on", true).verb("StreamChanges"); }
-  void write(const FetchEndpoints& /*action*/) { out_ += "{\"verb\":\"Lookup\"}"; }
-  void write(const LogMessage& action) { open("msg", action.text).verb("Debug"); }
+  void write(const WatchEndpoints& /*action*/) { begin_object("on", true).end_with_verb("StreamChanges"); }
+  void write(const FetchEndpoints& /*action*/) { reply_ += "{\"verb\":\"Lookup\"}"; }
+  void write(const LogMessage& action) { begin_object("msg", action.text).end_with_verb("Debug"); }
 
-  void value(std::int64_t whole) { digits(whole); }
-  void value(int whole) { digits(whole); }
-  void value(bool flag) { out_ += flag ? "true" : "false"; }
-  void value(double figure) {
-    const std::size_t from = out_.size();
-    digits(figure);
-    if (out_.find_first_of(".e", from) == std::string::npos) {
-      out_ += ".0";
+  void write_value(std::int64_t number) { write_digits(number); }
+  void write_value(int number) { write_digits(number); }
+  void write_value(bool flag) { reply_ += flag ? "true" : "false"; }
+  // Always with a fraction or an exponent, so that the value reads back as a double.
+  void write_value(double number) {
+    const std::size_t start = reply_.size();
+    write_digits(number);
+    if (reply_.find_first_of(".e", start) == std::string::npos) {
+      reply_ += ".0";
     }
   }
-  void value(std::string_view words) {
-    out_ += '"';
-    for (const char letter : words) {
-      if (letter == '"' || letter == '\\') {
-        out_ += '\\';
+  // Writes spaces for control characters.
+  void write_value(std::string_view text) {
+    reply_ += '"';
+    for (const char character : text) {
+      if (character == '"' || character == '\\') {
+        reply_ += '\\';
       }
-      out_ += static_cast<unsigned char>(letter) < ' ' ? ' ' : letter;
+      reply_ += static_cast<unsigned char>(character) < ' ' ? ' ' : character;
     }
-    out_ += '"';
+    reply_ += '"';
   }
-  void value(const std::string& words) { value(std::string_view(words)); }
+  void write_value(const std::string& text) { write_value(std::string_view(text)); }
 
  private:
   static double milliseconds(Duration duration) { return static_cast<double>(duration) / kTicksPerMs; }
 
-  template <class Figure>
-  void digits(Figure figure) {
-    char room[32];
-    out_.append(room, std::to_chars(room, room + sizeof room, figure).ptr);
+  template <class Number>
+  void write_digits(Number number) {
+    char buffer[32];
+    reply_.append(buffer, std::to_chars(buffer, buffer + sizeof buffer, number).ptr);
   }
   template <class Value>
-  ActionWriter& open(const char* name, const Value& what) {
-    out_ += '{';
-    return put(name, what);
+  ActionWriter& begin_object(const char* name, const Value& field_value) {
+    reply_ += '{';
+    return write_field(name, field_value);
   }
   template <class Value>
-  ActionWriter& next(const char* name, const Value& what) {
-    out_ += ',';
-    return put(name, what);
+  ActionWriter& add_field(const char* name, const Value& field_value) {
+    reply_ += ',';
+    return write_field(name, field_value);
   }
   template <class Value>
-  ActionWriter& put(const char* name, const Value& what) {
-    out_ += '"';
-    out_ += name;
-    out_ += "\":";
-    value(what);
+  ActionWriter& write_field(const char* name, const Value& field_value) {
+    reply_ += '"';
+    reply_ += name;
+    reply_ += "\":";
+    write_value(field_value);
     return *this;
   }
-  void verb(const char* name) {
-    out_ += ",\"verb\":\"";
-    out_ += name;
-    out_ += "\"}";
+  void end_with_verb(const char* verb) {
+    reply_ += ",\"verb\":\"";
+    reply_ += verb;
+    reply_ += "\"}";
   }
 
-  std::string& out_;
+  std::string& reply_;
 };
 
 }  // namespace dapplewharf
--- a/src/sim_adapter/event_reader.cpp
+++ b/src/sim_adapter/event_reader.cpp
@@ -12,13 +12,13 @@
 
 namespace dapplewharf {
 
-std::string_view needed_text(const object& from, std::string_view name) {
-  return from[name].get_string();
+std::string_view required_text(const object& json, std::string_view name) {
+  return json[name].get_string();
 }
 
 namespace {
 
-constexpr std::int64_t kLoadHint = 1;  // the sort of a hint that tells a load; all others tell a latency
+constexpr std::int64_t kLoadHintSort = 1;  // "sort" of a hint with a load; all other hints hold a latency
 
 Outcome outcome_of(std::string_view code) {
   if (code == "served") {
@@ -48,105 +48,106 @@
   throw std::invalid_argument("unknown outcome " + std::string(code));
 }
 
-// A field that may be missing or null reads as `otherwise`; one that must be there throws where it is not.
+// The value of a field; `fallback` if it is missing, null or of another type.
 template <class Value>
-Value field(const object& from, std::string_view name, Value otherwise) {
+Value field_or(const object& json, std::string_view name, Value fallback) {
   Value value;
-  return from[name].get(value) == simdjson::SUCCESS ? value : otherwise;
+  return json[name].get(value) == simdjson::SUCCESS ? value : fallback;
 }
-std::string text(const object& from, std::string_view name) {
-  return std::string(field<std::string_view>(from, name, {}));
+std::string text_or_empty(const object& json, std::string_view name) {
+  return std::string(field_or<std::string_view>(json, name, {}));
 }
 
-std::optional<std::int64_t> whole(const object& from, std::string_view name) {
+// A number, without its fraction; nothing if the field is missing or not a number.
+std::optional<std::int64_t> integer_if_present(const object& json, std::string_view name) {
   std::int64_t value;
-  if (from[name].get(value) == simdjson::SUCCESS) {
+  if (json[name].get(value) == simdjson::SUCCESS) {
     return value;
   }
   double fraction;
-  if (from[name].get(fraction) == simdjson::SUCCESS) {
+  if (json[name].get(fraction) == simdjson::SUCCESS) {
     return static_cast<std::int64_t>(fraction);
   }
   return std::nullopt;
 }
 
-EndpointEntry endpoint_entry_of(const object& from) {
-  EndpointEntry to;
-  to.host = needed_text(from, "host");
-  to.zone = text(from, "site");
-  to.kind = text(from, "type");
-  to.cell = whole(from, "cell").value_or(0);
-  const std::string_view state = needed_text(from, "state");
-  to.state = state == "healthy"    ? EndpointState::healthy
-             : state == "cordoned" ? EndpointState::draining
-                                   : EndpointState::removed;
-  to.size = field(from, "scale", 1.0);
-  to.started = ticks_of_ms(field(from, "cameUpMs", 0.0));
-  return to;
+EndpointEntry read_endpoint_entry(const object& json) {
+  EndpointEntry entry;
+  entry.id = required_text(json, "host");
+  entry.zone = text_or_empty(json, "site");
+  entry.machine_type = text_or_empty(json, "type");
+  entry.cell = integer_if_present(json, "cell").value_or(0);
+  const std::string_view state = required_text(json, "state");
+  entry.state = state == "healthy"    ? EndpointState::healthy
+                : state == "cordoned" ? EndpointState::draining
+                                      : EndpointState::removed;
+  entry.size = field_or(json, "scale", 1.0);
+  entry.started_at = ticks_of_ms(field_or(json, "cameUpMs", 0.0));
+  return entry;
 }
 
-std::string request_id_of(const object& from) {
-  return text(from, "req");
+std::string request_id_of(const object& json) {
+  return text_or_empty(json, "req");
 }
-std::string endpoint_of(const object& from) {
-  return text(from, "host");
+std::string endpoint_of(const object& json) {
+  return text_or_empty(json, "host");
 }
-int attempt_of(const object& from) {
-  return static_cast<int>(field<std::int64_t>(from, "n", 0));
+int attempt_of(const object& json) {
+  return static_cast<int>(field_or<std::int64_t>(json, "n", 0));
 }
-Duration duration_of(const object& from) {
-  return ticks_of_ms(field(from, "durationMs", 0.0));
+Duration duration_of(const object& json) {
+  return ticks_of_ms(field_or(json, "durationMs", 0.0));
 }
 
-PolicyEvent read_hint(const object& from) {
-  const double value = field(from, "value", 0.0);
-  if (field<std::int64_t>(from, "sort", 0) == kLoadHint) {
-    return LoadReported{request_id_of(from), endpoint_of(from), value};
+PolicyEvent read_hint(const object& json) {
+  const double value = field_or(json, "value", 0.0);
+  if (field_or<std::int64_t>(json, "sort", 0) == kLoadHintSort) {
+    return LoadReported{request_id_of(json), endpoint_of(json), value};
   }
-  return LatencyReported{request_id_of(from), endpoint_of(from), value * kTicksPerMs};
+  return LatencyReported{request_id_of(json), endpoint_of(json), value * kTicksPerMs};
 }
 
-std::vector<double> read_report(const object& from) {
-  std::vector<double> report;
-  array figures;
-  if (from["healthInfo"].get(figures) != simdjson::SUCCESS) {
-    return report;
+std::vector<double> read_reported_values(const object& json) {
+  std::vector<double> reported_values;
+  array values;
+  if (json["healthInfo"].get(values) != simdjson::SUCCESS) {
+    return reported_values;
   }
-  for (const element value : figures) {
-    double figure = 0;
-    report.push_back(value.get(figure) == simdjson::SUCCESS ? figure : 0);
+  for (const element value : values) {
+    double number = 0;
+    reported_values.push_back(value.get(number) == simdjson::SUCCESS ? number : 0);
   }
-  return report;
+  return reported_values;
 }
 
-RequestAttributes read_request(const object& from) {
-  RequestAttributes to;
-  to.id = needed_text(from, "req");
-  to.traffic_type = needed_text(from, "service");
-  to.tenant = text(from, "team");
-  to.client_key = whole(from, "resource");
-  to.affinity_group = whole(from, "room");
-  to.is_mid_connection = field(from, "midflow", false);
-  to.is_migrated = field(from, "reconnect", false);
-  to.is_retry = field(from, "againByClient", false);
-  return to;
+RequestAttributes read_request_attributes(const object& json) {
+  RequestAttributes attributes;
+  attributes.id = required_text(json, "req");
+  attributes.traffic_type = required_text(json, "service");
+  attributes.tenant = text_or_empty(json, "team");
+  attributes.client_key = integer_if_present(json, "resource");
+  attributes.affinity_group = integer_if_present(json, "room");
+  attributes.is_mid_connection = field_or(json, "midflow", false);
+  attributes.is_migrated = field_or(json, "reconnect", false);
+  attributes.is_retry = field_or(json, "againByClient", false);
+  return attributes;
 }
 
-PolicyEvent read_new_request(const object& from) {
-  RequestReceived to{read_request(from)};
-  to.request.deadline = ticks_of_ms(from["clientDeadlineMs"].get_double());
-  return to;
+PolicyEvent read_request_received(const object& json) {
+  RequestReceived event{read_request_attributes(json)};
+  event.request.deadline = ticks_of_ms(json["clientDeadlineMs"].get_double());
+  return event;
 }
 
-PolicyEvent read_endpoints(const object& from) {
+PolicyEvent read_endpoint_list(const object& json) {
   std::vector<EndpointEntry> endpoints;
   array hosts;
-  if (from["hosts"].get(hosts) == simdjson::SUCCESS) {
+  if (json["hosts"].get(hosts) == simdjson::SUCCESS) {
     for (const element entry : hosts) {
-      endpoints.push_back(endpoint_entry_of(entry.get_object()));
+      endpoints.push_back(read_endpoint_entry(entry.get_object()));
     }
   }
-  const std::string_view how = needed_text(from, "how");
+  const std::string_view how = required_text(json, "how");
   if (how == "total") {
     return EndpointsSnapshot{std::move(endpoints)};
   }
@@ -161,39 +162,39 @@
 
 }  // namespace
 
-std::optional<PolicyEvent> read_event(const object& from, std::string_view verb) {
+std::optional<PolicyEvent> read_event(const object& json, std::string_view verb) {
   if (verb == "HintUpdate") {
-    return read_hint(from);
+    return read_hint(json);
   }
   if (verb == "Alarm") {
-    return TimerFired{static_cast<int>(field<std::int64_t>(from, "handle", 0))};
+    return TimerFired{static_cast<int>(field_or<std::int64_t>(json, "handle", 0))};
   }
   if (verb == "Established") {
-    return AttemptEstablished{request_id_of(from), endpoint_of(from), attempt_of(from), duration_of(from)};
+    return AttemptEstablished{request_id_of(json), endpoint_of(json), attempt_of(json), duration_of(json)};
   }
   if (verb == "Result") {
-    return AttemptEnded{request_id_of(from), endpoint_of(from),
-                        attempt_of(from),    outcome_of(needed_text(from, "rc")),
-                        duration_of(from),   field(from, "final", false)};
+    return AttemptEnded{request_id_of(json), endpoint_of(json),
+                        attempt_of(json),    outcome_of(required_text(json, "rc")),
+                        duration_of(json),   field_or(json, "final", false)};
   }
   if (verb == "Echo") {
-    return HealthCheckEnded{endpoint_of(from), outcome_of(needed_text(from, "rc")), duration_of(from),
-                            read_report(from)};
+    return HealthCheckEnded{endpoint_of(json), outcome_of(required_text(json, "rc")), duration_of(json),
+                            read_reported_values(json)};
   }
   if (verb == "Demand") {
-    return read_new_request(from);
+    return read_request_received(json);
   }
   if (verb == "Handover") {
-    return ConnectionAdopted{read_request(from), endpoint_of(from)};
+    return ConnectionAdopted{read_request_attributes(json), endpoint_of(json)};
   }
   if (verb == "ClientGone") {
-    return ClientDisconnected{request_id_of(from)};
+    return ClientDisconnected{request_id_of(json)};
   }
   if (verb == "Registry") {
-    return read_endpoints(from);
+    return read_endpoint_list(json);
   }
   if (verb == "Peer") {
-    return GossipReceived{endpoint_of(from), 0};
+    return GossipReceived{endpoint_of(json), 0};
   }
   return std::nullopt;
 }
--- a/src/sim_adapter/event_reader.h
+++ b/src/sim_adapter/event_reader.h
@@ -1,5 +1,5 @@
-// Reads the events of the simulator's wire into the policy's events. The one place where the simulator's
-// words for events are mapped to the field's terms. Pure.
+// Converts events in the simulator's wire format to the policy's events. Only this module knows the
+// simulator's names for events and their fields. Pure.
 #pragma once
 #include <simdjson.h>
 
@@ -10,12 +10,12 @@
 
 namespace dapplewharf {
 
-/// A text field that has to be there.
-/// @throws simdjson::simdjson_error where it is missing or no text.
-[[nodiscard]] std::string_view needed_text(const simdjson::dom::object& from, std::string_view name);
+/// The value of a text field.
+/// @throws simdjson::simdjson_error if it is missing or not a text.
+[[nodiscard]] std::string_view required_text(const simdjson::dom::object& json, std::string_view name);
 
-/// The event of this verb; nothing for a verb that this adapter does not know.
+/// Reads the event with this verb; returns nothing if this adapter does not know the verb.
 /// @throws simdjson::simdjson_error or std::invalid_argument on malformed input.
-[[nodiscard]] std::optional<PolicyEvent> read_event(const simdjson::dom::object& from, std::string_view verb);
+[[nodiscard]] std::optional<PolicyEvent> read_event(const simdjson::dom::object& json, std::string_view verb);
 
 }  // namespace dapplewharf
--- a/src/sim_adapter/main.cpp
+++ b/src/sim_adapter/main.cpp
@@ -1,6 +1,6 @@
-// dapplewharf_sim_adapter: the load-balancing policy on the simulator's wire. Reads one batch of events a
-// line on standard input and answers with one line of actions on standard output; one LoadBalancer for each
-// simulated node.
+// dapplewharf_sim_adapter: runs the load-balancing policy for the nodes of a simulator, with one LoadBalancer
+// for each node. Reads batches of events from standard input, one JSON object a line, and answers each with
+// one line of actions on standard output.
 #include <simdjson.h>
 
 #include <iostream>
@@ -22,64 +22,70 @@
 
 namespace {
 
-using Nodes = std::map<std::int64_t, LoadBalancer>;
+using LoadBalancers = std::map<std::int64_t, LoadBalancer>;  // by node
 
-std::vector<PolicyAction> decide(Nodes& nodes, std::int64_t node, TimePoint now, const array& inbox) {
+// Passes the inbox of one node to its load balancer; the verb Boot creates the load balancer, Teardown
+// removes it.
+std::vector<PolicyAction> handle_inbox(LoadBalancers& load_balancers, std::int64_t node, TimePoint now,
+                                       const array& inbox) {
   std::vector<PolicyEvent> events;
   for (const element entry : inbox) {
     const object event = entry.get_object();
-    const std::string_view verb = needed_text(event, "verb");
+    const std::string_view verb = required_text(event, "verb");
     if (verb == "Boot" || verb == "Teardown") {
-      events.clear();  // whatever a killed instance was told is void
-      nodes.erase(node);
+      events.clear();  // earlier events were meant for the previous instance of this node
+      load_balancers.erase(node);
       if (verb == "Boot") {
         const element env = event["env"];
         const auto settings = nlohmann::json::parse(simdjson::minify(env));
-        nodes.try_emplace(node, parse_platform_settings(settings), event["prng"].get_uint64(), now);
+        load_balancers.try_emplace(node, parse_platform_settings(settings), event["prng"].get_uint64(), now);
       }
-    } else if (std::optional<PolicyEvent> known = read_event(event, verb)) {
-      events.push_back(std::move(*known));
+    } else if (std::optional<PolicyEvent> policy_event = read_event(event, verb)) {
+      events.push_back(std::move(*policy_event));
     }
   }
-  const auto found = nodes.find(node);
-  return found == nodes.end() ? std::vector<PolicyAction>() : found->second.handle_events(now, events);
+  const auto found = load_balancers.find(node);
+  return found == load_balancers.end() ? std::vector<PolicyAction>()
+                                       : found->second.handle_events(now, events);
 }
 
-void reply_to(Nodes& nodes, const object& batch, std::string& reply) {
+// Handles a batch of events and writes the reply's line. The node's part of the reply starts with the verb
+// Die if its load balancer threw an exception.
+void reply_to(LoadBalancers& load_balancers, const object& batch, std::string& reply) {
   const TimePoint now = ticks_of_ms(batch["simTimeMs"].get_double());
   ActionWriter writer(reply);
   reply = "{\"parts\":[";
-  bool first = true;
+  bool is_first_part = true;
   for (const element entry : batch["parts"].get_array()) {
     const object part = entry.get_object();
     const std::int64_t node = part["node"].get_int64();
     std::vector<PolicyAction> actions;
-    std::optional<std::string> failure;
+    std::optional<std::string> error_message;
     try {
-      actions = decide(nodes, node, now, part["inbox"].get_array());
+      actions = handle_inbox(load_balancers, node, now, part["inbox"].get_array());
     } catch (const simdjson::simdjson_error&) {
-      throw;  // malformed input, not a failed decision
+      throw;  // malformed input ends the program
     } catch (const std::invalid_argument&) {
       throw;
     } catch (const std::exception& error) {
-      failure = error.what();
+      error_message = error.what();
     }
-    if (actions.empty() && !failure) {
+    if (actions.empty() && !error_message) {
       continue;
     }
-    reply += std::exchange(first, false) ? "{\"cmds\":[" : ",{\"cmds\":[";
-    if (failure) {
+    reply += std::exchange(is_first_part, false) ? "{\"cmds\":[" : ",{\"cmds\":[";
+    if (error_message) {
       reply += "{\"msg\":";
-      writer.value(*failure);
+      writer.write_value(*error_message);
       reply += ",\"verb\":\"Die\"},";
     }
     for (const PolicyAction& action : actions) {
-      std::visit([&writer](const auto& one) { writer.write(one); }, action);
+      std::visit([&writer](const auto& typed_action) { writer.write(typed_action); }, action);
       reply += ',';
     }
     reply.back() = ']';
     reply += ",\"node\":";
-    writer.value(node);
+    writer.write_value(node);
     reply += '}';
   }
   reply += "]}\n";
@@ -89,7 +95,7 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  Nodes nodes;
+  LoadBalancers load_balancers;
   simdjson::dom::parser parser;
   std::string line;
   std::string reply;
@@ -99,7 +105,7 @@
     }
     try {
       line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
-      reply_to(nodes, parser.parse(line).get_object(), reply);
+      reply_to(load_balancers, parser.parse(line).get_object(), reply);
       std::cout.write(reply.data(), static_cast<std::streamsize>(reply.size())).flush();
     } catch (const std::exception& error) {
       std::cerr << "dapplewharf_sim_adapter: bad input: " << error.what() << '\n';
--- a/tests/node/endpoint_directory_test.cpp
+++ b/tests/node/endpoint_directory_test.cpp
@@ -10,7 +10,7 @@
 EndpointSnapshot list_with(const std::string& host, EndpointState state) {
   EndpointSnapshot list;
   EndpointEntry entry;
-  entry.host = host;
+  entry.id = host;
   entry.zone = "near";
   entry.state = state;
   list.listings.push_back(entry);
--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -176,7 +176,7 @@
   for (const Case& one :
        {Case{"max_attempts", 1.0, &ShadowCounts::would_reject},
         Case{"message_latency_objective.0", 5000.0, &ShadowCounts::would_stay},
-        Case{"zone", std::string("far"), nullptr}, Case{"load_report_index", 0.0, nullptr}}) {
+        Case{"zone", std::string("far"), nullptr}, Case{"load_value_index", 0.0, nullptr}}) {
     Watched fleet;
     SettingsMap others = fleet.settings;
     others[one.setting] = one.value;
--- a/tests/policy/endpoint_slow_start_test.cpp
+++ b/tests/policy/endpoint_slow_start_test.cpp
@@ -105,7 +105,7 @@
   for (const double load : {0.1, 0.9}) {
     LoadBalancerHarness harness;
     harness.settings["node_count"] = 3.0;
-    harness.settings["load_report_index"] = 0.0;
+    harness.settings["load_value_index"] = 0.0;
     harness.reported_load = load;
     harness.start(4);
     harness.advance_time(100000);
--- a/tests/policy/endpoint_test.cpp
+++ b/tests/policy/endpoint_test.cpp
@@ -68,7 +68,7 @@
 TEST(Looks, AHostNotProbedOfLateIsProbedFirstAndPassedWhenFull) {
   LoadBalancerHarness harness;
   harness.settings["node_count"] = 400.0;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.start(4);
   EXPECT_EQ(harness.send_request("a", 1), "") << "held until the probe has answered";
   ASSERT_EQ(harness.health_checks.size(), 1u);
@@ -93,7 +93,7 @@
 TEST(Looks, AnAttachmentWhoseExpiryPassesMeanwhileIsAnsweredWithTheProbe) {
   LoadBalancerHarness harness;
   harness.settings["node_count"] = 400.0;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.start(1);
   harness.send_request("a", 1);
   harness.now += 30000;
@@ -107,7 +107,7 @@
 // As it was met: 22 ms left, a probe that took 40, the final answer 20 ms after the grace.
 TEST(Looks, AnAttachmentWithLittleTimeLeftIsNotHeldForAProbe) {
   LoadBalancerHarness harness;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.start(2);
   harness.send_request("a", 1);
   FlatEvent answer;
@@ -125,7 +125,7 @@
 TEST(Lists, WhereOnlyDrainsBindAHostCalledGoneServesOnWhileItsProbesDo) {
   for (const bool binds_alone : {true, false}) {
     LoadBalancerHarness harness;
-    harness.settings["only_drains_bind"] = binds_alone ? 1.0 : 0.0;
+    harness.settings["may_use_removed_endpoints"] = binds_alone ? 1.0 : 0.0;
     harness.start(1);
     harness.send_request("stands");
     harness.establish("stands");
@@ -142,7 +142,7 @@
 
 TEST(Lists, ADrainBindsAlsoWhenTheHostIsCalledGoneAfterwards) {
   LoadBalancerHarness harness;
-  harness.settings["only_drains_bind"] = 1.0;
+  harness.settings["may_use_removed_endpoints"] = 1.0;
   harness.start(1);
   harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::draining);
   harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::removed);
@@ -154,7 +154,7 @@
   std::map<double, int> sent;
   for (const double price : {0.0, 0.004}) {
     LoadBalancerHarness harness;
-    harness.settings["load_report_index"] = 0.0;
+    harness.settings["load_value_index"] = 0.0;
     harness.settings["health_check_price"] = price;
     harness.start(12);
     harness.advance_time(600000);
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -312,7 +312,7 @@
 TEST(Crowds, AHostThatTellsOfRoomIsAskedAlsoByAGroupThatIsKeptTogether) {
   LoadBalancerHarness harness;
   harness.settings["node_count"] = 400.0;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.start(8);
   for (int i = 0; i < 8; ++i) {
     FlatEvent answer;
@@ -408,7 +408,7 @@
       harness.settings["zone"] = std::string(zone);
       harness.settings["cross_zone_price"] = 0.05;
       if (reported) {
-        harness.settings["load_report_index"] = 0.0, harness.reported_load = 0.1;
+        harness.settings["load_value_index"] = 0.0, harness.reported_load = 0.1;
       }
       harness.start(4);
       for (int i = 0; i < 4; ++i) {
@@ -442,7 +442,7 @@
     LoadBalancerHarness harness;
     harness.settings["node_count"] = 400.0;
     harness.settings["discovery"] = "on_request";
-    harness.settings["notified_within"] = 100000.0;
+    harness.settings["notification_limit"] = 100000.0;
     harness.start(3, seed);
     const TimePoint start = harness.now;
     while (!harness.has_action(ActionKind::watch_endpoints) && harness.now < start + 100000) {
@@ -556,7 +556,7 @@
   harness.start(0);
   const auto list = [&](const std::string& host, double weight) {
     EndpointEntry entry = LoadBalancerHarness::endpoint_entry(host);
-    entry.kind = "three", entry.size = weight;
+    entry.machine_type = "three", entry.size = weight;
     harness.update_endpoint(entry, EndpointState::healthy);
   };
   for (int i = 0; i < 6; ++i) {
@@ -802,7 +802,7 @@
 
 TEST(Budget, OneThatIsSpentWhileAHostIsLookedAtIsNotOverdrawn) {
   Rationed harness;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.reported_load = 0.2;
   harness.start(8);
   for (const char* id : {"a", "b", "c", "d"}) {
@@ -840,7 +840,7 @@
 TEST(EndpointSnapshot, WithLittleTimeForAskingAnInquiryThatFailedIsMadeAgainWithinIt) {
   LoadBalancerHarness harness;
   harness.settings["discovery"] = "on_request";
-  harness.settings["notified_within"] = 8000.0;
+  harness.settings["notification_limit"] = 8000.0;
   harness.start(4);
   for (int lost = 0; lost < 6; ++lost) {
     FlatEvent event;
--- a/tests/policy/message_latency_test.cpp
+++ b/tests/policy/message_latency_test.cpp
@@ -13,7 +13,7 @@
 struct MessageLatencyTest : ::testing::Test {
   Settings settings;
   MessageLatency latency{settings};
-  MessageLatencyTest() { settings.shortest_message_objective = kObjective; }
+  MessageLatencyTest() { settings.min_message_latency_objective = kObjective; }
 };
 
 }  // namespace
--- a/tests/support/flat_conversions.cpp
+++ b/tests/support/flat_conversions.cpp
@@ -169,9 +169,9 @@
   settings.overload_window = static_cast<Duration>(required_number(map, "overload_window"));
   settings.overload_multiple = required_number(map, "overload_multiple");
   settings.drain_grace = static_cast<Duration>(required_number(map, "drain_grace"));
-  settings.notified_within = duration("notified_within");
-  settings.polls_endpoints = text_or_empty(map, "discovery") == "on_request";
-  settings.only_drains_bind = number_or(map, "only_drains_bind", 0) != 0;
+  settings.notification_limit = duration("notification_limit");
+  settings.polls_endpoint_list = text_or_empty(map, "discovery") == "on_request";
+  settings.may_use_removed_endpoints = number_or(map, "may_use_removed_endpoints", 0) != 0;
   settings.weights_follow_load = number_or(map, "weights_follow_load", 0) != 0;
   for (int i = 0; map.count("traffic." + std::to_string(i) + ".name"); ++i) {
     settings.traffic.push_back(traffic_class(map, "traffic." + std::to_string(i) + "."));
@@ -184,7 +184,7 @@
     Tenant& tenant = settings.tenants.emplace_back();
     tenant.name = text_or_empty(map, prefix + "name");
     if (map.count(prefix + "connection_quota")) {
-      tenant.connections = number_or(map, prefix + "connection_quota", 0);
+      tenant.connection_quota = number_or(map, prefix + "connection_quota", 0);
     }
   }
   settings.max_attempts = number_or(map, "max_attempts", 1);
@@ -195,11 +195,11 @@
   settings.retry_after_allowed = number_or(map, "retry_after_allowed", 0) != 0;
   settings.max_retry_after = duration("max_retry_after");
   settings.connect_timeout = duration_if_set(map, "connect_timeout").value_or(kSecond);
-  settings.shortest_message_objective =
+  settings.min_message_latency_objective =
       static_cast<Duration>(extreme(map, "message_latency_objective.", "", -1, 0));
   settings.health_checks_allowed = number_or(map, "health_checks_allowed", 0) != 0;
-  if (const double index = number_or(map, "load_report_index", -1); index >= 0) {
-    settings.load_report_index = static_cast<std::size_t>(index);
+  if (const double index = number_or(map, "load_value_index", -1); index >= 0) {
+    settings.load_value_index = static_cast<std::size_t>(index);
   }
   settings.cross_zone_price = number_or(map, "cross_zone_price", 0);
   settings.health_check_price = number_or(map, "health_check_price", 0);
--- a/tests/support/flat_events.h
+++ b/tests/support/flat_events.h
@@ -45,7 +45,7 @@
   std::string endpoint;
   std::string traffic_type, tenant;
   std::optional<std::int64_t> client_key, affinity_group;
-  TimePoint deadline = 0;  // request_received: when the client gives up; shutdown_started: `answer_by`
+  TimePoint deadline = 0;  // request_received: when the client gives up; shutdown_started: `answer_deadline`
   bool is_mid_connection = false, is_migrated = false, is_retry = false;
   bool is_pending = false;   // connection_adopted: the endpoint has not confirmed it yet
   int attempt_or_timer = 0;  // timer_fired: the timer; otherwise the attempt, from 0
