--- a/tests/policy/retry_budget_test.cpp
+++ b/tests/policy/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// The retry budget, at the edges of its window.
+// Tests of the retry budget, at the edges of its window.
 #include "policy/retry_budget.h"
 
 #include <gtest/gtest.h>
@@ -11,18 +11,19 @@
 
 }  // namespace
 
-TEST(RetryBudget, ArrivalsEarnRetriesUntilTheyLeaveTheWindow) {
+TEST(RetryBudget, ArrivalsAllowRetriesUntilTheyLeaveTheWindow) {
   RetryBudget budget;
   budget.record_arrival(kSettings, 0);
   budget.record_arrival(kSettings, 0);
   budget.record_retry(0);
-  EXPECT_TRUE(budget.allows_retry(kSettings, kSecond - 1)) << "two arrivals earn one beyond the least";
-  EXPECT_FALSE(budget.allows_retry(kSettings, kSecond)) << "the arrivals count no longer, the retry does";
+  EXPECT_TRUE(budget.allows_retry(kSettings, kSecond - 1))
+      << "two arrivals allow one retry more than the minimum";
+  EXPECT_FALSE(budget.allows_retry(kSettings, kSecond)) << "the arrivals have expired, the retry has not";
   EXPECT_FALSE(budget.allows_retry(kSettings, kSecond + 1));
   EXPECT_TRUE(budget.allows_retry(kSettings, kSecond + 2));
 }
 
-TEST(RetryBudget, AWithdrawnRetryIsNotCountedAndWithoutSettingsNothingIsLimited) {
+TEST(RetryBudget, WithdrawnRetriesDoNotCountAndWithoutSettingsThereIsNoLimit) {
   RetryBudget budget;
   budget.record_retry(0);
   EXPECT_FALSE(budget.allows_retry(kSettings, 0));
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// The rules on repeats, each at its edge.
+// Tests of the rules on repeats, each at its limit.
 #include "policy/retry_policy.h"
 
 #include <gtest/gtest.h>
@@ -10,16 +10,16 @@
 namespace {
 
 constexpr Duration kWindow = 5 * kSecond;
-const EndpointLocation kHere{"h0", "near", 1};
-const EndpointLocation kFar{"h1", "far", 2};
+const EndpointLocation kFirstEndpoint{"h0", "near", 1};
+const EndpointLocation kOtherZoneEndpoint{"h1", "far", 2};
 
 std::vector<Attempt> ended_attempt(bool may_have_run) {
-  return {{kHere, 0, false, may_have_run}};
+  return {{kFirstEndpoint, 0, false, may_have_run}};
 }
 
 }  // namespace
 
-TEST(RetryPolicy, OnlyWhatNeverReachedItsEndpointOrWasRefusedThereCannotHaveRun) {
+TEST(RetryPolicy, MayHaveRunUnlessRejectedOrNotSent) {
   for (const Outcome outcome :
        {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent, Outcome::withdrawn}) {
     EXPECT_FALSE(may_have_run(outcome)) << name_of(outcome);
@@ -30,8 +30,8 @@
   }
 }
 
-TEST(RetryPolicy, AnAttemptInFlightForbidsARepeatOfAnyKind) {
-  const std::vector<Attempt> attempts{{kHere, 0, true, false}};
+TEST(RetryPolicy, AttemptInFlightForbidsRepeatOfAnyIdempotency) {
+  const std::vector<Attempt> attempts{{kFirstEndpoint, 0, true, false}};
   for (const auto idempotency :
        {Idempotency::idempotent, Idempotency::deduplicated, Idempotency::non_idempotent}) {
     EXPECT_EQ(check_repeat({idempotency, DeduplicationScope::all, kWindow}, attempts, std::nullopt, 0),
@@ -39,17 +39,19 @@
   }
 }
 
-TEST(RetryPolicy, TheScopeCountsOnceATargetIsKnown) {
+TEST(RetryPolicy, DeduplicatedRequestIsRepeatedOnlyWithinScopeAndWindow) {
   const RepeatRule rule{Idempotency::deduplicated, DeduplicationScope::zone, kWindow};
-  const TimePoint last = kWindow - kRepeatMargin - 1;
-  EXPECT_EQ(check_repeat(rule, ended_attempt(true), std::nullopt, last), std::nullopt);
-  EXPECT_EQ(check_repeat(rule, ended_attempt(true), std::nullopt, last + 1), RepeatObstacle::may_have_run);
-  EXPECT_EQ(check_repeat(rule, ended_attempt(true), kHere, last), std::nullopt);
-  EXPECT_EQ(check_repeat(rule, ended_attempt(true), kFar, last), RepeatObstacle::may_have_run);
-  EXPECT_EQ(check_repeat(rule, ended_attempt(false), kFar, last + 1), std::nullopt);
+  const TimePoint last_repeat_at = kWindow - kRepeatMargin - 1;
+  EXPECT_EQ(check_repeat(rule, ended_attempt(true), std::nullopt, last_repeat_at), std::nullopt);
+  EXPECT_EQ(check_repeat(rule, ended_attempt(true), std::nullopt, last_repeat_at + 1),
+            RepeatObstacle::may_have_run);
+  EXPECT_EQ(check_repeat(rule, ended_attempt(true), kFirstEndpoint, last_repeat_at), std::nullopt);
+  EXPECT_EQ(check_repeat(rule, ended_attempt(true), kOtherZoneEndpoint, last_repeat_at),
+            RepeatObstacle::may_have_run);
+  EXPECT_EQ(check_repeat(rule, ended_attempt(false), kOtherZoneEndpoint, last_repeat_at + 1), std::nullopt);
 }
 
-TEST(RetryPolicy, ARejectionNeedsARepeatThatIsHarmlessAnywhere) {
+TEST(RetryPolicy, MayBeRejectedOnlyIfRepeatsAreHarmlessAtAllEndpoints) {
   EXPECT_TRUE(may_be_rejected({Idempotency::idempotent, DeduplicationScope::cell, 0}, ended_attempt(true)));
   EXPECT_TRUE(may_be_rejected({Idempotency::deduplicated, DeduplicationScope::all, 0}, ended_attempt(true)));
   EXPECT_FALSE(
