--- a/src/policy/request_ledger.h
+++ b/src/policy/request_ledger.h
@@ -1,15 +1,14 @@
 // Records the attempts and the final answer of each request of this node, and checks each attempt and answer
 // before it is sent against those of the four rules in docs/design.md that concern a single request:
 //   - One final answer: a request gets exactly one unless its client has disconnected. No attempt starts
-//   after it,
-//     after the deadline or while another attempt is in flight.
+//     after it, after the deadline or while another attempt is in flight.
 //   - No effect twice: a request that may have run is repeated only at an endpoint that drops the repeat
 //     (retry_policy.h).
 //   - Drains: no new request is sent to an endpoint that drains or has been removed.
 // The fourth rule, on endpoints in slow start, is not checked here; the policy's decisions alone keep it.
 // The ledger checks the decisions of LoadBalancer and ReconnectPolicy once more: its caller does not carry
-// out a step that violates a rule, but counts and logs the violation. Reads no clock; times are in ticks of
-// 0.1 ms.
+// out a step that violates a rule, but counts and logs the violation. Owns the records of attempts; reads no
+// clock. Times are in ticks of 0.1 ms.
 #pragma once
 #include <cstddef>
 #include <optional>
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -44,7 +44,7 @@
   request.is_established = true;
   request.is_pending = event.is_pending;
   request.attempts.push_back({{event.endpoint, {}, {}}, context_.now, true, true});
-  context_.post_to_endpoint(event.endpoint, ConnectionOpened{});
+  context_.post_to_endpoint(event.endpoint, ConnectionRestored{});
 }
 
 void RequestTable::handle(const AttemptEstablished& event) {
@@ -110,7 +110,7 @@
     }
     // Without this budget more connections would migrate than other endpoints have room for, and these would
     // migrate again.
-    if (static_cast<int>(migrated_at_.size()) >= message.budget) {
+    if (static_cast<int>(migrated_at_.size()) >= message.migration_budget) {
       return;
     }
     migrate(request);
@@ -243,7 +243,7 @@
     const Request& other = entry.second;
     return !other.is_answered && other.is_established && other.attributes.tenant == request.attributes.tenant;
   });
-  return quota > 0 && static_cast<double>(open) + 1 >= quota + kConnectionsOverMean;
+  return quota > 0 && static_cast<double>(open) + 1 >= quota + kConnectionCountMargin;
 }
 
 // Queries candidates for the request's first attempt or a retry; sends the final answer if no attempt may
@@ -263,18 +263,19 @@
       if (other.is_established && !other.is_answered &&
           other.attributes.affinity_group == request.attributes.affinity_group) {
         query->affinity_endpoints.insert(other.attempts.back().location.endpoint);
-        ++query->group_connections;
+        ++query->open_group_connections;
       }
     }
   }
   for (const Attempt& earlier : request.attempts) {
-    query->tried.push_back(earlier.location.endpoint);
+    query->tried_endpoints.push_back(earlier.location.endpoint);
     if (request.repeat_rule.idempotency == Idempotency::deduplicated && earlier.may_have_run) {
       query->deduplicating_endpoint = earlier.location.endpoint;
     }
   }
-  query->scope = request.repeat_rule.scope;
-  query->shortage = last_shortage_at_ && context_.now - *last_shortage_at_ < kConditionHeld;
+  query->deduplication_scope = request.repeat_rule.scope;
+  query->is_capacity_short =
+      last_shortage_at_ && context_.now - *last_shortage_at_ < kEndpointConditionLifetime;
   context_.post_to_endpoint_set(SelectEndpoints{std::move(query), {}});
 }
 
@@ -283,8 +284,8 @@
   if (!request || request->is_answered) {
     return;
   }
-  const bool is_surge = candidates.fleet.surge_rate > 0;
-  const bool no_candidate_left = candidates.asked >= candidates.endpoints->size();
+  const bool is_surge = candidates.fleet.surge_share_per_second > 0;
+  const bool no_candidate_left = candidates.next_index >= candidates.endpoints->size();
   if (is_surge && no_candidate_left) {
     last_shortage_at_ = context_.now;
   }
@@ -292,9 +293,9 @@
   if (is_shed || no_candidate_left || context_.now >= request->attributes.deadline) {
     return send_final_answer(*request);
   }
-  const std::string& endpoint = (*candidates.endpoints)[candidates.asked];
+  const std::string& endpoint = (*candidates.endpoints)[candidates.next_index];
   AdmissionRequest message{candidates};
-  ++message.candidates.asked;
+  ++message.candidates.next_index;
   context_.post_to_endpoint(endpoint, std::move(message));
 }
 
@@ -311,7 +312,7 @@
   }
   request.attempts.push_back({{endpoint, {}, {}}, context_.now, true, true});
   ++attempts_in_flight_;
-  context_.act(StartAttempt{id, endpoint, attempt_timeout(request)});
+  context_.add_action(StartAttempt{id, endpoint, attempt_timeout(request)});
 }
 
 // An attempt that no retry may follow gets all the time that is left. So does any attempt while a shared
@@ -336,13 +337,13 @@
   }
   const std::string& id = request.attributes.id;
   if (!may_be_rejected(request.repeat_rule, request.attempts)) {
-    return context_.act(FailRequest{id});
+    return context_.add_action(FailRequest{id});
   }
   const Settings& settings = context_.settings;
   const auto max_retry_after =
       static_cast<double>(settings.retry_after_allowed ? settings.max_retry_after : 0);
   const double share = kMinRetryAfterShare + (1 - kMinRetryAfterShare) * context_.random.next_fraction();
-  context_.act(RejectRequest{id, static_cast<Duration>(max_retry_after * share)});
+  context_.add_action(RejectRequest{id, static_cast<Duration>(max_retry_after * share)});
 }
 
 // Whether the connection belongs to the share that is to migrate. The hash of its affinity group or client
@@ -359,20 +360,21 @@
   }
   // An adopted connection that its endpoint has not confirmed is not migrated for a fault, which may be
   // transient: migration would end the connection.
-  if (request.is_pending && !endpoint.empty() && !message.endpoint_is_leaving) {
+  if (request.is_pending && !endpoint.empty() && !message.is_endpoint_leaving) {
     return false;
   }
   const RequestAttributes& attributes = request.attributes;
-  const std::optional<std::int64_t>& key =
-      attributes.affinity_group && message.whole_groups ? attributes.affinity_group : attributes.client_key;
+  const std::optional<std::int64_t>& key = attributes.affinity_group && message.keeps_groups_together
+                                               ? attributes.affinity_group
+                                               : attributes.client_key;
   const std::uint64_t group_hash = hash(key ? static_cast<std::uint64_t>(*key) : hash(attributes.id));
-  return static_cast<double>(hash(group_hash ^ hash(endpoint)) >> 32) < message.share * kHashRange;
+  return static_cast<double>(hash(group_hash ^ hash(endpoint)) >> 32) < message.migration_share * kHashRange;
 }
 
 // The client's reconnection is a new request, so this one counts as answered.
 void RequestTable::migrate(Request& request) {
   request.is_answered = true;
-  context_.act(MigrateConnection{request.attributes.id, request.attempts.back().location.endpoint});
+  context_.add_action(MigrateConnection{request.attributes.id, request.attempts.back().location.endpoint});
   migrated_at_.push_back(context_.now);
 }
 
--- a/tests/policy/adaptive_attempt_limit_test.cpp
+++ b/tests/policy/adaptive_attempt_limit_test.cpp
@@ -18,7 +18,7 @@
   EXPECT_TRUE(limit.shared_dependency_fails(now));
   EXPECT_FALSE(limit.forbids_attempt(4, now));
   EXPECT_TRUE(limit.forbids_attempt(5, now));
-  now += kFleetConditionHeld;
+  now += kFleetConditionLifetime;
   EXPECT_FALSE(limit.is_active(now));
   EXPECT_FALSE(limit.forbids_attempt(100, now));
 }
