--- a/src/node/endpoint_directory.cpp
+++ b/src/node/endpoint_directory.cpp
@@ -16,8 +16,8 @@
     records_[endpoint].address = address;
   }
   for (const EndpointEntry& entry : list.entries) {
-    EndpointRecord& record = records_[entry.host];
-    record.location = EndpointLocation{entry.host, entry.zone, entry.cell};
+    EndpointRecord& record = records_[entry.id];
+    record.location = EndpointLocation{entry.id, entry.zone, entry.cell};
     if (entry.zone == own_zone && entry.size > 0) {
       record.size_in_own_zone = entry.size;
     }
@@ -35,10 +35,10 @@
                                               std::vector<std::string>& unusable) {
   for (const EndpointEntry& entry : list.entries) {
     if (entry.state == EndpointState::draining) {
-      records_[entry.host].leaving_state = entry.state;
-      unusable.push_back(entry.host);
+      records_[entry.id].leaving_state = entry.state;
+      unusable.push_back(entry.id);
     } else if (entry.state == EndpointState::healthy) {
-      records_[entry.host].leaving_state.reset();
+      records_[entry.id].leaving_state.reset();
     }
   }
 }
@@ -48,7 +48,7 @@
   std::set<std::string> present;
   std::set<std::string> removed;
   for (const EndpointEntry& entry : list.entries) {
-    (entry.state == EndpointState::removed ? removed : present).insert(entry.host);
+    (entry.state == EndpointState::removed ? removed : present).insert(entry.id);
   }
   for (const auto& [endpoint, record] : records_) {
     if (list.is_complete && !record.address.empty() && !present.count(endpoint)) {
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -16,7 +16,7 @@
 
 // When this node is deemed notified of changes: of those that an unanswered watch missed, counted from the
 // start of its call; and of those at a new address, counted from SIGHUP.
-constexpr Duration kDeemedNotifiedAfterSilence = Backoff::kToldWithin;
+constexpr Duration kDeemedNotifiedAfterSilence = Backoff::kNotificationLimit;
 constexpr Duration kDeemedNotifiedAfterAddressChange = 4 * kSecond;
 // The time that a watch asks discovery to wait for a change. Half of `kDeemedNotifiedAfterSilence`, so that
 // the other half is left to repeat a watch that was not answered: the watches of all nodes fail at the same
@@ -67,17 +67,17 @@
   list.version = from.at("generation").get<std::int64_t>();
   for (const json& entry : from.at("instances")) {
     EndpointEntry endpoint;
-    endpoint.host = entry.at("instanceId").get<std::string>();
+    endpoint.id = entry.at("instanceId").get<std::string>();
     endpoint.zone = optional_field<std::string>(entry, "zone", "");
-    endpoint.kind = optional_field<std::string>(entry, "machineType", "");
+    endpoint.machine_type = optional_field<std::string>(entry, "machineType", "");
     endpoint.cell = optional_field<std::int64_t>(entry, "cell", 0);
     endpoint.state = parse_state(entry.at("lifecycle").get<std::string>());
     endpoint.size = optional_field<double>(entry, "weight", 1);
-    endpoint.started =
-        starts.to_loop_time(endpoint.host, optional_field<double>(entry, "startedAtMs", 0), now, unix_now);
+    endpoint.started_at =
+        starts.to_loop_time(endpoint.id, optional_field<double>(entry, "startedAtMs", 0), now, unix_now);
     const auto address = optional_field<std::string>(entry, "hostPort", "");
     if (!address.empty()) {
-      list.addresses[endpoint.host] = address;
+      list.addresses[endpoint.id] = address;
     }
     list.entries.push_back(std::move(endpoint));
   }
@@ -141,7 +141,7 @@
 void EndpointDiscovery::call(const std::string& target, bool is_watch) {
   const Duration watch_timeout =
       kWatchWait + (last_watch_timed_out_ ? kWatchTimeoutAfterTimeout : kWatchTimeout);
-  const Duration timeout = is_watch ? watch_timeout : Backoff::kPatience;
+  const Duration timeout = is_watch ? watch_timeout : Backoff::kResponseTimeout;
   is_call_in_progress_ = true;
   ++counters_.endpoint_list_calls;
   spdlog::debug("endpoint_list_called target={}", target);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -55,7 +55,7 @@
 }
 
 void Node::apply_settings() {
-  endpoints_.set_only_draining_binds(settings_.policy.only_drains_bind);
+  endpoints_.set_only_draining_binds(settings_.policy.may_use_removed_endpoints);
   limits_.connect_timeout = settings_.policy.connect_timeout;
   limits_.descriptors = configuration_.descriptors;
   limits_.max_list_bytes =
@@ -97,13 +97,13 @@
 // node keeps sending to draining endpoints until it has called. The delay is therefore limited to half of the
 // drain grace period.
 void Node::schedule_watch() {
-  if (settings_.policy.polls_endpoints) {  // the load balancer requests each list itself
+  if (settings_.policy.polls_endpoint_list) {  // the load balancer requests each list itself
     return;
   }
   const Backoff backoff(settings_.policy.node_count, settings_.policy.drain_grace / 2);
   const Duration delay = consecutive_watch_failures_ == 0
                              ? 0
-                             : backoff.again(consecutive_watch_failures_, random_.next_fraction());
+                             : backoff.retry_wait(consecutive_watch_failures_, random_.next_fraction());
   loop_.schedule(watch_deadline_, loop_.now() + delay, [this] { discovery_.watch(); });
 }
 
@@ -134,7 +134,7 @@
   events_.add(HealthCheckEnded{.endpoint = endpoint,
                                .outcome = outcome_of(health_check.result),
                                .duration = health_check.duration,
-                               .report = {}});
+                               .reported_values = {}});
   if (health_check.latency > 0 && loop_.lateness() < kMaxSampleLateness) {
     endpoints_.latency(endpoint).record_health_check(loop_.now(), health_check.latency);
   }
@@ -182,7 +182,7 @@
     const auto idle = idle_times.find(endpoint);
     const Duration baseline = idle == idle_times.end() ? 0 : idle->second;
     const auto latency = endpoints_.latency(endpoint).report(
-        loop_.now(), settings_.policy.shortest_message_objective, lines.ages, baseline);
+        loop_.now(), settings_.policy.min_message_latency_objective, lines.ages, baseline);
     if (latency) {
       events_.add(LatencyReported{
           .request_id = lines.request_id, .endpoint = endpoint, .latency = static_cast<double>(*latency)});
@@ -280,7 +280,7 @@
   if (!shutdown_.begin(loop_.now(), settings_.policy.longest_deadline())) {
     return;
   }
-  events_.add(ShutdownStarted{.answer_by = shutdown_.answers_due()});
+  events_.add(ShutdownStarted{.answer_deadline = shutdown_.answers_due()});
   requests_.limit_to_shutdown();
   loop_.schedule(close_requests_deadline_, shutdown_.requests_close_at(),
                  [this] { requests_.close_remaining_requests(); });
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -91,7 +91,7 @@
   }
   const std::string id = id_of(handle);
   events_.add(ClientDisconnected{.request_id = id});
-  ledger_.client_left(id);
+  ledger_.record_client_disconnect(id);
   if (!request->has_attempt_in_progress) {
     return release(id);
   }
@@ -110,7 +110,7 @@
   if (const auto violation = ledger_.check_answer(id, FinalAnswer::up)) {
     report_violation("pass on UP to", id, violation);
   }
-  ledger_.answered(id);
+  ledger_.record_answer(id);
   request->is_established = true;
   const Duration setup_time = loop_.now() - request->sent_at;
   events_.add(AttemptEstablished{.request_id = id,
@@ -128,7 +128,7 @@
   }
   const Outcome outcome = outcome_of(result);
   if (!request->is_between_attempts) {
-    ledger_.ended(id_of(handle), may_have_run(outcome));
+    ledger_.record_attempt_end(id_of(handle), may_have_run(outcome));
   }
   if (request->awaits_reconnect() && schedule_reconnect(handle, *request, result)) {
     return;
@@ -216,7 +216,8 @@
 
 void RequestHandler::on_load_reported(Handle handle, double load) {
   if (const Request* request = find(handle)) {
-    events_.add(LoadReported{.request_id = id_of(handle), .endpoint = request->endpoint, .work = load});
+    events_.add(
+        LoadReported{.request_id = id_of(handle), .endpoint = request->endpoint, .work_us_per_s = load});
   }
 }
 
@@ -253,7 +254,7 @@
   if (const auto violation = ledger_.check_attempt(id, location, true, loop_.now())) {
     return violation;
   }
-  ledger_.begun(id, location, loop_.now());
+  ledger_.record_attempt_start(id, location, loop_.now());
   connections_.begin_attempt(request.handle, {.address = parse_address(endpoints_.address(request.endpoint)),
                                               .timeout = timeouts.total,
                                               .connect_timeout = timeouts.connect});
@@ -289,7 +290,7 @@
   ++counters_.connections_migrated;
   spdlog::debug("connection_migrated host={}", request->endpoint);
   const Handle handle = request->handle;
-  ledger_.answered(id);
+  ledger_.record_answer(id);
   request->is_client_done = true;
   on_attempt_ended(handle, {AttemptProgress::established, TerminationReason::cancelled});
   connections_.migrate(handle);
@@ -308,7 +309,7 @@
   if (violation) {
     report_violation("answer", id, violation);
   }
-  ledger_.answered(id);
+  ledger_.record_answer(id);
   release(id);
   if (!violation || failed_instead) {
     connections_.answer(handle, failed_instead ? kErrorLine : line);
@@ -338,7 +339,7 @@
     return;
   }
   request->is_between_attempts = false;
-  Duration timeout = request->reconnect->attempt_time(loop_.now());
+  Duration timeout = request->reconnect->attempt_timeout(loop_.now());
   if (shutdown_.in_progress()) {
     timeout = std::max<Duration>(1, std::min(timeout, shutdown_.answers_due() - loop_.now()));
   }
@@ -360,7 +361,8 @@
   const bool is_permitted = endpoints_.permits(request.endpoint, EndpointUse::reconnect);
   const auto violation =
       ledger_.check_attempt(id_of(handle), endpoints_.location(request.endpoint), is_permitted, loop_.now());
-  std::optional<Duration> delay = request.reconnect->pause(loop_.now(), is_listed, random_.next_fraction());
+  std::optional<Duration> delay =
+      request.reconnect->next_pause(loop_.now(), is_listed, random_.next_fraction());
   if (violation || shutdown_.in_progress()) {
     delay.reset();
   }
--- a/src/policy/endpoint.cpp
+++ b/src/policy/endpoint.cpp
@@ -74,15 +74,15 @@
 void Endpoint::handle(const EndpointListed& message) {
   fleet_ = message.fleet;
   const EndpointEntry& entry = message.entry;
-  const bool has_restarted = was_listed_ && entry.started > slow_start_.started_at();
+  const bool has_restarted = was_listed_ && entry.started_at > slow_start_.started_at();
   status_.zone = entry.zone;
   status_.cell = entry.cell;
-  status_.machine_type = entry.kind;
+  status_.machine_type = entry.machine_type;
   status_.capacity = entry.size > 0 ? entry.size : 1;
   if (message.connections_all_nodes) {
     status_.connections_elsewhere = std::max(0.0, *message.connections_all_nodes - status_.open_connections);
   }
-  slow_start_.set_started_at(entry.started);
+  slow_start_.set_started_at(entry.started_at);
   if (entry.state != EndpointState::healthy) {
     leave_service(entry.state);
     return;
@@ -152,12 +152,12 @@
   record_check_outcome(message.outcome);
 }
 
-// A wrong endpoint list could remove endpoints that still serve their connections. If only_drains_bind is
-// set, health checks decide whether an endpoint that was removed without a drain stays in service; the first
-// of them is due at once.
+// A wrong endpoint list could remove endpoints that still serve their connections. If
+// may_use_removed_endpoints is set, health checks decide whether an endpoint that was removed without a drain
+// stays in service; the first of them is due at once.
 void Endpoint::leave_service(EndpointState state) {
   const bool is_removed_without_drain = state == EndpointState::removed && state_ == EndpointState::healthy;
-  if (is_removed_without_drain && context_.settings.only_drains_bind) {
+  if (is_removed_without_drain && context_.settings.may_use_removed_endpoints) {
     if (!std::exchange(is_removal_unconfirmed_, true)) {
       check_schedule_.make_due_now(context_.now);
       context_.log("removal_left_to_health_checks endpoint=" + id_);
@@ -239,7 +239,7 @@
   const bool may_wait = !candidates.is_mid_connection &&
                         candidates.deadline - context_.now > kMinTimeToDeadline &&
                         candidates.passed_over_count < kMaxPassedOverCount;
-  return may_wait && context_.settings.load_report_index &&
+  return may_wait && context_.settings.load_value_index &&
          !check_schedule_.was_checked_recently(context_.now) &&
          (check_schedule_.is_check_in_flight() || may_check_health());
 }
@@ -282,9 +282,9 @@
 }
 
 void Endpoint::record_reported_load(const HealthCheckEnded& check) {
-  const std::optional<std::size_t> index = context_.settings.load_report_index;
-  const bool has_load = index && *index < check.report.size();
-  status_.reported_load = has_load ? check.report[*index] : -1;
+  const std::optional<std::size_t> index = context_.settings.load_value_index;
+  const bool has_load = index && *index < check.reported_values.size();
+  status_.reported_load = has_load ? check.reported_values[*index] : -1;
   status_.headroom_until = has_load && status_.reported_load < kFullReportedLoad
                                ? context_.now + kMinSteadyHealthCheckInterval
                                : 0;
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -168,7 +168,7 @@
   }
   const bool is_surge = fleet.surge_share_per_second > 0;
   if (context_.settings.cross_zone_price <= kHighCrossZonePrice) {
-    return is_surge || fleet.mean_reported_load > kBusyFleetLoad || !context_.settings.load_report_index;
+    return is_surge || fleet.mean_reported_load > kBusyFleetLoad || !context_.settings.load_value_index;
   }
   return is_surge && query.is_capacity_short;
 }
--- a/src/policy/fleet_statistics.cpp
+++ b/src/policy/fleet_statistics.cpp
@@ -113,7 +113,7 @@
 // If few requests arrive, health checks at the usual rate would cost more than the service is worth. The
 // endpoints are then still observed by the checks before an admission and by message latencies.
 Duration FleetStatisticsCollector::min_health_check_interval(int endpoint_count, TimePoint now) const {
-  if (!settings_.load_report_index || arrivals_.empty()) {
+  if (!settings_.load_value_index || arrivals_.empty()) {
     return 0;
   }
   return static_cast<Duration>(settings_.health_check_price * endpoint_count / kHealthCheckCostShare /
@@ -136,7 +136,7 @@
     // limit the other endpoints to the lowest rate although they have spare capacity.
     fleet.mean_connections = totals.own_zone_connections.capacity > 0 ? totals.own_zone_connections.mean()
                                                                       : totals.connections.mean();
-    fleet.quota_per_capacity = settings_.granted_connections() / totals.connections.capacity;
+    fleet.quota_per_capacity = settings_.total_connection_quota() / totals.connections.capacity;
   }
   if (totals.own_zone_connections_all_nodes.capacity > 0) {
     fleet.mean_connections_all_nodes = totals.own_zone_connections_all_nodes.mean();
--- a/tests/node/shadow_test.cpp
+++ b/tests/node/shadow_test.cpp
@@ -180,7 +180,7 @@
   for (const Case& test_case :
        {Case{"max_attempts", 1.0, &ShadowCounts::would_reject},
         Case{"message_latency_objective.0", 5000.0, &ShadowCounts::would_stay},
-        Case{"zone", std::string("far"), nullptr}, Case{"load_report_index", 0.0, nullptr}}) {
+        Case{"zone", std::string("far"), nullptr}, Case{"load_value_index", 0.0, nullptr}}) {
     ShadowHarness harness;
     SettingsMap shadow_settings = harness.settings;
     shadow_settings[test_case.setting] = test_case.value;
--- a/tests/policy/endpoint_test.cpp
+++ b/tests/policy/endpoint_test.cpp
@@ -68,7 +68,7 @@
 TEST(CheckBeforeAdmission, EndpointNotCheckedRecentlyIsCheckedFirstAndSkippedIfFull) {
   LoadBalancerHarness harness;
   harness.settings["node_count"] = 400.0;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.start(4);
   EXPECT_EQ(harness.send_request("a", 1), "") << "waits for the health check";
   ASSERT_EQ(harness.health_checks.size(), 1u);
@@ -93,7 +93,7 @@
 TEST(CheckBeforeAdmission, RequestWhoseDeadlinePassesDuringTheCheckIsRejected) {
   LoadBalancerHarness harness;
   harness.settings["node_count"] = 400.0;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.start(1);
   harness.send_request("a", 1);
   harness.now += 30000;
@@ -108,7 +108,7 @@
 // after the grace period that follows its deadline.
 TEST(CheckBeforeAdmission, RequestCloseToItsDeadlineDoesNotWaitForACheck) {
   LoadBalancerHarness harness;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.start(2);
   harness.send_request("a", 1);
   FlatEvent health_check;
@@ -126,7 +126,7 @@
 TEST(EndpointRemoval, RemovedEndpointStaysInServiceWhileChecksSucceedIfOnlyDrainsBind) {
   for (const bool only_drains_bind : {true, false}) {
     LoadBalancerHarness harness;
-    harness.settings["only_drains_bind"] = only_drains_bind ? 1.0 : 0.0;
+    harness.settings["may_use_removed_endpoints"] = only_drains_bind ? 1.0 : 0.0;
     harness.start(1);
     harness.send_request("open");
     harness.establish("open");
@@ -143,7 +143,7 @@
 
 TEST(EndpointRemoval, DrainedEndpointStaysOutOfServiceAfterItsRemoval) {
   LoadBalancerHarness harness;
-  harness.settings["only_drains_bind"] = 1.0;
+  harness.settings["may_use_removed_endpoints"] = 1.0;
   harness.start(1);
   harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::draining);
   harness.update_endpoint(LoadBalancerHarness::endpoint_entry("h0"), EndpointState::removed);
@@ -155,7 +155,7 @@
   std::map<double, int> checks_by_price;
   for (const double price : {0.0, 0.004}) {
     LoadBalancerHarness harness;
-    harness.settings["load_report_index"] = 0.0;
+    harness.settings["load_value_index"] = 0.0;
     harness.settings["health_check_price"] = price;
     harness.start(12);
     harness.advance_time(600000);
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -316,7 +316,7 @@
 TEST(Surge, EndpointsThatReportSpareCapacityAreAskedBeyondTheCandidateLimit) {
   LoadBalancerHarness harness;
   harness.settings["node_count"] = 400.0;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.start(8);
   for (int i = 0; i < 8; ++i) {
     FlatEvent health_check;
@@ -418,7 +418,7 @@
       harness.settings["zone"] = std::string(zone);
       harness.settings["cross_zone_price"] = 0.05;
       if (reports_load) {
-        harness.settings["load_report_index"] = 0.0, harness.reported_load = 0.1;
+        harness.settings["load_value_index"] = 0.0, harness.reported_load = 0.1;
       }
       harness.start(4);
       for (int i = 0; i < 4; ++i) {
@@ -452,7 +452,7 @@
     LoadBalancerHarness harness;
     harness.settings["node_count"] = 400.0;
     harness.settings["discovery"] = "on_request";
-    harness.settings["notified_within"] = 100000.0;
+    harness.settings["notification_limit"] = 100000.0;
     harness.start(3, seed);
     const TimePoint start = harness.now;
     while (!harness.has_action(ActionKind::watch_endpoints) && harness.now < start + 100000) {
@@ -567,7 +567,7 @@
   harness.start(0);
   const auto update_weight = [&](const std::string& endpoint, double weight) {
     EndpointEntry entry = LoadBalancerHarness::endpoint_entry(endpoint);
-    entry.kind = "three", entry.size = weight;
+    entry.machine_type = "three", entry.size = weight;
     harness.update_endpoint(entry, EndpointState::healthy);
   };
   for (int i = 0; i < 6; ++i) {
@@ -817,7 +817,7 @@
 
 TEST(RetryBudgetLimit, BudgetHoldsForRetriesThatWaitForAHealthCheck) {
   RetryBudgetHarness harness;
-  harness.settings["load_report_index"] = 0.0;
+  harness.settings["load_value_index"] = 0.0;
   harness.reported_load = 0.2;
   harness.start(8);
   for (const char* id : {"a", "b", "c", "d"}) {
@@ -855,7 +855,7 @@
 TEST(EndpointList, FailedListCallIsRepeatedWithinAShortTimeLimit) {
   LoadBalancerHarness harness;
   harness.settings["discovery"] = "on_request";
-  harness.settings["notified_within"] = 8000.0;
+  harness.settings["notification_limit"] = 8000.0;
   harness.start(4);
   for (int failures = 0; failures < 6; ++failures) {
     FlatEvent event;
