--- a/tests/emulator/soak_test.cpp
+++ b/tests/emulator/soak_test.cpp
@@ -1,5 +1,5 @@
-// Tests of what the soak counts as a violation in the nodes' logs. The node's lines are made by the code that the
-// node itself runs. If their text changes, the tests therefore show whether the soak still finds them.
+// Tests of what the soak counts as a violation in the nodes' logs. The node's lines are made by the code that
+// the node itself runs. If their text changes, the tests therefore show whether the soak still finds them.
 #include "emulator/soak.h"
 
 #include <gtest/gtest.h>
