--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -67,10 +67,10 @@
   // Handles the messages of one inbox. Returns whether there were any. Handlers post messages, but never add
   // to an inbox.
   template <class Part, class Message>
-  static bool handle_inbox(Part& part, void (Part::*handler)(const Message&), std::vector<Message>& inbox) {
+  static bool handle_inbox(Part& part, std::vector<Message>& inbox) {
     const bool had_messages = !inbox.empty();
     for (const Message& message : inbox) {
-      (part.*handler)(message);
+      part.handle_message(message);
     }
     inbox.clear();
     return had_messages;
@@ -101,19 +101,16 @@
   void process_messages() {
     for (bool had_messages = true; had_messages;) {
       deliver_posted_messages();
-      had_messages = handle_inbox(endpoint_set, &EndpointSet::handle_message, context.endpoint_set.inbox);
+      had_messages = handle_inbox(endpoint_set, context.endpoint_set.inbox);
       std::sort(endpoints_with_messages.begin(), endpoints_with_messages.end(),
                 [](auto* a, auto* b) { return a->first < b->first; });
       for (auto* endpoint : endpoints_with_messages) {
-        had_messages =
-            handle_inbox(endpoint->second, &Endpoint::handle_message, endpoint->second.inbox) || had_messages;
+        had_messages = handle_inbox(endpoint->second, endpoint->second.inbox) || had_messages;
       }
       endpoints_with_messages.clear();
       deliver_posted_messages();
-      had_messages =
-          handle_inbox(selector, &EndpointSelector::handle_message, context.selector.inbox) || had_messages;
-      had_messages =
-          handle_inbox(request_table, &RequestTable::read, context.request_table.inbox) || had_messages;
+      had_messages = handle_inbox(selector, context.selector.inbox) || had_messages;
+      had_messages = handle_inbox(request_table, context.request_table.inbox) || had_messages;
     }
   }
 };
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void RequestTable::read(const RequestTableMessage& message) {
+void RequestTable::handle_message(const RequestTableMessage& message) {
   std::visit([this](const auto& typed_message) { handle(typed_message); }, message);
 }
 
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -34,7 +34,7 @@
   explicit RequestTable(PolicyContext& context) : context_(context) {}
 
   /// Handles one message. May post messages to endpoints and the endpoint set, and add actions.
-  void read(const RequestTableMessage& message);
+  void handle_message(const RequestTableMessage& message);
 
  private:
   void handle(const ShutdownStarted& event);
