--- a/src/node/byte_relay.cpp
+++ b/src/node/byte_relay.cpp
@@ -9,9 +9,12 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kHalfClosedTimeout = 5 * kSecond;  // of a half-closed connection without traffic
-constexpr Duration kHostClosedTimeout = 800 * kMs;    // for the client to close after its host has closed
-constexpr std::size_t kMaxPartialLineBytes = 32;      // of a host's line; enough to determine its type
+// How long a half-closed connection may be without traffic.
+constexpr Duration kHalfClosedTimeout = 5 * kSecond;
+// How long a client may take to close its side after its host has closed.
+constexpr Duration kHostClosedTimeout = 800 * kMs;
+// The bytes that are kept of a host's incomplete line; enough to determine the type of the line.
+constexpr std::size_t kMaxPartialLineBytes = 32;
 
 // Returns how many of the bytes pending for the client may be sent. Lines that are longer than the protocol
 // allows, and the last bytes before the host closes, are sent without waiting for the end of the line.
@@ -56,8 +59,8 @@
   }
 }
 
-// Without the reservation each connection's buffer, which grows by doubling, could take twice
-// `kPeerBufferBytes`.
+// Reserves `kPeerBufferBytes` first: a buffer that grows by doubling could take twice `kPeerBufferBytes` of
+// memory for each connection.
 std::optional<std::size_t> ByteRelay::receive(const Peer& peer, std::string& buffer, bool& closed) {
   buffer.reserve(kPeerBufferBytes);
   return peer.socket.receive(buffer, kPeerBufferBytes - buffer.size(), closed);
--- a/src/node/byte_relay.h
+++ b/src/node/byte_relay.h
@@ -25,7 +25,7 @@
   /// The network path to the host has failed, though the host may be running: the client is to reconnect
   /// elsewhere.
   virtual void on_host_unreachable(Handle handle, ProxiedConnection& connection) = 0;
-  /// The end of the host's line for which a migration was waiting has been received.
+  /// A migration is pending, and the end of the host's line that delayed it has been received.
   virtual void on_line_boundary(Handle handle) = 0;
   /// The connection has ended on both sides.
   virtual void on_finished(Handle handle, ProxiedConnection& connection) = 0;
--- a/src/node/connection_table.cpp
+++ b/src/node/connection_table.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr Duration kRequestLineTimeout = 2 * kSecond;  // to receive the request line; the protocol allows 3 s
-// Until the next line of a client that has sent PING.
+// How long a client that has sent PING may take until it sends its next line.
 constexpr Duration kNextLineAfterPingTimeout = 60 * kSecond;
 constexpr Duration kClosingTimeout = kSecond;  // for the client to receive the last bytes
-// Read and discarded while closing, so that the client receives the answer.
+// The bytes that are read and discarded while a connection closes, so that the client receives the answer.
 constexpr std::size_t kMaxDiscardedBytes = 64 * 1024;
 
 }  // namespace
@@ -136,8 +136,8 @@
   reject_malformed(handle, connection, "incomplete line");
 }
 
-// The client has disconnected, or has only closed its sending side; in case it still reads, it is answered
-// ERR.
+// The client has disconnected, or has only closed its sending side. If its connection is not broken, it is
+// answered ERR, because it may still read.
 void ConnectionTable::on_client_closed_before_answer(Handle handle, ProxiedConnection& connection,
                                                      bool is_broken) {
   ++counters_.clients_left;
--- a/src/node/connection_table.h
+++ b/src/node/connection_table.h
@@ -54,9 +54,10 @@
   /// Sends the final answer to a client that awaits it, then closes the connection.
   /// @param line including its line end.
   void answer(Handle handle, const std::string& line);
-  /// Sends MOVE between two lines, which asks the client to reconnect elsewhere.
+  /// Sends MOVE, which asks the client to reconnect elsewhere. If a line is being sent, MOVE follows at the
+  /// end of that line.
   void migrate(Handle handle);
-  /// Brings the deadlines of attempts in progress forward to `deadline` at the latest.
+  /// Sets the deadline of each attempt in progress that has a later one to `deadline`.
   void shorten_attempts(TimePoint deadline);
 
   /// The number of client connections.
--- a/src/node/endpoint_directory.h
+++ b/src/node/endpoint_directory.h
@@ -51,8 +51,9 @@
   LatencyEstimator& latency(const std::string& endpoint);
   /// The endpoints that have a latency estimator, in the order of their names.
   [[nodiscard]] std::vector<std::string> with_latency_estimates() const;
-  /// For each endpoint in this node's zone, the longest time that a health check takes while the endpoint is
-  /// idle, in ticks of 0.1 ms; estimated from the health checks of all of these endpoints.
+  /// For each endpoint in this node's zone, an estimate of the longest time that a health check takes while
+  /// the endpoint is idle, in ticks of 0.1 ms. It depends on the endpoint's size and on the shortest health
+  /// check latencies of all endpoints in the zone.
   [[nodiscard]] std::map<std::string, Duration> idle_health_check_times() const;
   /// Forgets which endpoints are in the node's zone, because the node is now in another zone; the next list
   /// names those of the new zone.
--- a/src/node/endpoint_discovery.cpp
+++ b/src/node/endpoint_discovery.cpp
@@ -14,8 +14,10 @@
 namespace dapplewharf {
 namespace {
 
-// When this node is deemed notified of changes: of those that an unanswered watch missed, counted from the
-// start of its call; and of those at a new address, counted from SIGHUP.
+// The time after which this node is deemed notified of changes. For changes that an unanswered watch missed,
+// it is counted from the start of that watch's call. For changes at a new address of discovery, it is counted
+// from the time when the node applies that address, which is later than SIGHUP by up to
+// Reloader::kRetryPeriod if a configuration file cannot be read at first.
 constexpr Duration kDeemedNotifiedAfterSilence = Backoff::kNotificationLimit;
 constexpr Duration kDeemedNotifiedAfterAddressChange = 4 * kSecond;
 // The time that a watch asks discovery to wait for a change. Half of `kDeemedNotifiedAfterSilence`, so that
@@ -24,8 +26,9 @@
 constexpr Duration kWatchWait = 3 * kSecond;
 constexpr Duration kWatchTimeout = 500 * kMs;               // for the answer, in addition to `kWatchWait`
 constexpr Duration kWatchTimeoutAfterTimeout = 1500 * kMs;  // the same, after a watch that timed out
-constexpr Duration kUnchangedListDelay = 100 * kMs;         // short enough to keep the watch alive
-constexpr Duration kRetryDelay = 200 * kMs;                 // at most, until `deemed_notified_at_`
+// Before the next call after an unchanged list; short enough that discovery does not end the watch.
+constexpr Duration kUnchangedListDelay = 100 * kMs;
+constexpr Duration kRetryDelay = 200 * kMs;  // the longest delay between retries before `deemed_notified_at_`
 constexpr std::size_t kReadBytes = 64 * 1024;
 constexpr int kHttpOk = 200;
 
@@ -286,9 +289,9 @@
   loop_.cancel(deadline_);
   is_call_in_progress_ = false;
   ++counters_.endpoint_list_calls_lost;
-  // The call is repeated until this node is deemed notified of the changes it may have missed, immediately if
-  // a watch timed out: meanwhile the node may send to a draining endpoint. The delay is random because the
-  // watches of all nodes fail at the same time.
+  // The call is repeated until this node is deemed notified of the changes that it may have missed, because
+  // until then the node may send to a draining endpoint. The first repeat after a watch that timed out is
+  // immediate. The delay of other repeats is random because the watches of all nodes fail at the same time.
   if (deemed_notified_at_ && loop_.now() < *deemed_notified_at_) {
     const bool is_immediate = std::exchange(retry_immediately_, false);
     const auto delay = static_cast<Duration>(kRetryDelay * (0.5 + random_.next_fraction() / 2));
--- a/src/node/endpoint_discovery.h
+++ b/src/node/endpoint_discovery.h
@@ -1,8 +1,9 @@
 // The client of the discovery service: fetches the endpoint list and watches its changes by long polling.
 // Owns the connection to discovery, the version of the list and the watch, which continues across a change of
-// discovery's address and across one unanswered call. After a failed call it retries by itself only until
-// this node is deemed notified of the changes that it may have missed; any other failure is reported, and the
-// node decides when to watch again. Design: docs/design.md.
+// discovery's address and across one unanswered call. It retries by itself only after a watch that timed out
+// or after a change of the address, and only until this node is deemed notified of the changes that it may
+// have missed. Any other failure is reported, and the node decides when to watch again. Design:
+// docs/design.md.
 #pragma once
 #include <functional>
 #include <map>
@@ -95,7 +96,7 @@
   bool needs_complete_list_ = true;  // no list has been received from this address yet
   bool is_call_in_progress_ = false;
   bool is_reused_connection_ = false;  // the connection has served an earlier call
-  bool last_watch_timed_out_ = false;  // and no list has been received since
+  bool last_watch_timed_out_ = false;  // a watch has timed out, and no list has been received since
   bool retry_immediately_ = false;     // the call that failed last was a watch that timed out
   TimePoint called_at_ = 0;
   // When this node is deemed notified of changes that it may have missed; empty if it has missed none.
--- a/src/node/latency_estimator.cpp
+++ b/src/node/latency_estimator.cpp
@@ -10,8 +10,10 @@
 constexpr Duration kLineWindow = 2 * kSecond;  // clients send a line about once in this time
 constexpr Duration kReportInterval = kSecond;
 constexpr Duration kMaxHealthCheckAge = 5 * kSecond;
-constexpr Duration kMinLatencyWindow = 120 * kSecond;  // over which the minimum stands for the idle latency
-constexpr double kServiceTimeShare = 1.0 / 5;  // of the objective, which a message takes at an idle endpoint
+// The shortest health check latency within this window is taken as the latency of the idle endpoint.
+constexpr Duration kMinLatencyWindow = 120 * kSecond;
+// The assumed service time of a message at an idle endpoint, as a share of the message latency objective.
+constexpr double kServiceTimeShare = 1.0 / 5;
 // Smaller differences between a health check and the idle latency are ignored; ticks of 0.1 ms.
 constexpr Duration kHealthCheckNoise = 15;
 
--- a/src/node/latency_estimator.h
+++ b/src/node/latency_estimator.h
@@ -48,8 +48,8 @@
 /// Estimates the service time of an idle endpoint of size 1.
 /// @param service_times for each endpoint of a zone, its shortest health check latency multiplied by its
 ///        size.
-/// @return the value above the lowest third, because endpoints that answer much too fast are not
-///        representative; 0 if there are no values.
+/// @return the sorted value at index (count - 1) / 3, rounded down; 0 if there are no values. Of four or more
+///        values it is not the lowest, because endpoints that answer much too fast are not representative.
 [[nodiscard]] double idle_service_time(std::vector<double> service_times);
 
 }  // namespace dapplewharf
--- a/src/node/listener.cpp
+++ b/src/node/listener.cpp
@@ -11,9 +11,10 @@
 namespace dapplewharf {
 namespace {
 
-constexpr int kAcceptsPerTurn = 32;  // so that established connections are served in between
+constexpr int kAcceptsPerTurn = 32;  // limited so that established connections are served between accepts
 constexpr Duration kRetryDelay = 5 * kMs;
-// After this time of failing accepts clients are rejected; half of the time that they have to send a request.
+// Clients are rejected once accepts have failed for this long. It is half of the time that a client has to
+// send its request.
 constexpr Duration kMaxAcceptFailureTime = kSecond;
 
 Socket open_spare() {
@@ -67,8 +68,9 @@
   }
 }
 
-// A client can wait in the kernel's accept queue during a temporary failure. Only if the failure lasts, or
-// this process has no descriptor left, one client is rejected.
+// A client can wait in the kernel's accept queue during a temporary failure. One client is rejected only if
+// accept failed for lack of descriptors and either accepts have failed for long or this process has no
+// descriptor left.
 void Listener::retry_later(int error) {
   ++counters_.accept_failures;
   if (!failing_since_) {
--- a/src/node/node_settings.h
+++ b/src/node/node_settings.h
@@ -15,7 +15,7 @@
   bool affinity_groups = false;  ///< whether affinity groups are passed to the load balancer
   RequestSchema request_schema;  ///< the traffic types and tenants that a request line may name
 
-  /// The rule of a traffic type. For an unknown type the default rule, which never permits a repeat.
+  /// Returns the rule of a traffic type; for an unknown type, the default rule, which is non-idempotent.
   [[nodiscard]] RepeatRule repeat_rule(const std::string& traffic_type) const;
 };
 
--- a/src/node/proxied_connection.h
+++ b/src/node/proxied_connection.h
@@ -34,7 +34,8 @@
 
 /// The state of the relay of an established connection.
 struct RelayState {
-  /// When the first line of the client after the host's last line was received.
+  /// When the node received the end of the first client line since the host's last answer to a client line;
+  /// nothing if there is none. Load reports, BYE and MOVE are not answers.
   std::optional<TimePoint> request_sent_at;
   std::string partial_line;              ///< the beginning of the host's incomplete line
   LineType last_line = LineType::other;  ///< the host's last complete line
--- a/src/node/reload.h
+++ b/src/node/reload.h
@@ -14,8 +14,8 @@
   Reloader(EventLoop& loop, Node& node, const ConfigurationFiles& files)
       : loop_(loop), node_(node), files_(files) {}
   /// Reads the files and passes the result to the node. If a file cannot be read, reading is retried for
-  /// `kRetryPeriod`: the SIGHUP is not repeated, and 4 s after it the node is deemed notified of the changes
-  /// at a new discovery address.
+  /// `kRetryPeriod`, because the SIGHUP is not repeated, and because the node is deemed notified of the
+  /// changes at a new discovery address 4 s after the SIGHUP.
   void reload();
 
   static constexpr Duration kRetryPeriod = 2 * kSecond;
--- a/src/node/request_handler.h
+++ b/src/node/request_handler.h
@@ -54,7 +54,8 @@
   /// Tells the client of an established or adopted connection to reconnect elsewhere.
   void migrate(const std::string& id);
 
-  /// Limits all attempts and requests in flight to the shutdown, which has begun.
+  /// Called after the shutdown has begun: limits the deadlines of all attempts and requests in flight to the
+  /// times of the shutdown.
   void limit_to_shutdown();
   /// Migrates the remaining connections and fails the remaining requests.
   void close_remaining_requests();
@@ -139,8 +140,9 @@
   ConnectionTable connections_;
 };
 
-/// Latencies are not recorded in a turn of the event loop that is later than this, in ticks of 0.1 ms: the
-/// process was held up, and the latencies would include its own delay.
+/// Latencies are not recorded in a turn of the event loop that runs this much later than scheduled, in ticks
+/// of 0.1 ms, or still later: the process was not running in the meantime, and the latencies would include
+/// that delay.
 constexpr Duration kMaxSampleLateness = 50 * kMs;
 
 }  // namespace dapplewharf
--- a/src/node/shadow.h
+++ b/src/node/shadow.h
@@ -16,15 +16,16 @@
 namespace dapplewharf {
 
 /// How the second load balancer would have decided: counts of decisions on requests, of migrations and of
-/// health checks.
+/// health checks. In the comments "second" is the decision of the second load balancer, and "real" is that of
+/// the node.
 struct ShadowCounts {
   std::uint64_t same = 0;                ///< the same endpoint, or no attempt in both cases
-  std::uint64_t other_endpoint = 0;      ///< an attempt at another endpoint
-  std::uint64_t would_reject = 0;        ///< rejected or failed, but there was an attempt
-  std::uint64_t would_attempt = 0;       ///< an attempt, but the request was rejected or failed
-  std::uint64_t would_wait = 0;          ///< no decision yet, but there was one
-  std::uint64_t would_migrate = 0;       ///< a migration, but the connection was not migrated
-  std::uint64_t would_stay = 0;          ///< no migration, but the connection was migrated
+  std::uint64_t other_endpoint = 0;      ///< second: an attempt; real: an attempt at another endpoint
+  std::uint64_t would_reject = 0;        ///< second: rejected or failed; real: an attempt
+  std::uint64_t would_attempt = 0;       ///< second: an attempt; real: rejected or failed
+  std::uint64_t would_wait = 0;          ///< second: no decision yet; real: a decision
+  std::uint64_t would_migrate = 0;       ///< second: a migration; real: the connection was not migrated
+  std::uint64_t would_stay = 0;          ///< second: no migration; real: the connection was migrated
   std::uint64_t health_checks = 0;       ///< health checks that the second load balancer would have sent
   std::uint64_t real_health_checks = 0;  ///< health checks that were sent
 
--- a/src/node/shutdown.h
+++ b/src/node/shutdown.h
@@ -21,8 +21,9 @@
 /// The times of a shutdown, in ticks of 0.1 ms on the event loop's clock.
 class Shutdown {
  public:
-  /// Starts the shutdown. The supervisor kills the process 0.7 s after the longest request deadline, at the
-  /// latest 0.7 s after `kMaxRequestWait`; whatever is in flight then is lost.
+  /// Starts the shutdown. The supervisor kills the process after the longest request deadline plus 0.7 s,
+  /// both counted from SIGTERM, but no later than `kMaxRequestWait` plus 0.7 s. Requests and connections that
+  /// are still in flight at that time are lost.
   /// @param longest_deadline the longest of all traffic types; nothing if the settings name none.
   /// @return false if a shutdown is already in progress, which continues unchanged.
   bool begin(TimePoint now, std::optional<Duration> longest_deadline);
@@ -40,7 +41,9 @@
   /// For how long after SIGTERM clients may keep connecting.
   static constexpr Duration kLateClientPeriod = kSecond;
   static constexpr Duration kMaxRequestWait = 3 * kSecond;
-  static constexpr Duration kKillMargin = 600 * kMs;  // after the longest wait; the kill follows 100 ms later
+  /// From the longest request deadline, or `kMaxRequestWait` if that is shorter, to the exit of this process.
+  /// The supervisor kills the process 100 ms after that.
+  static constexpr Duration kKillMargin = 600 * kMs;
   static constexpr Duration kAnswerMargin = 100 * kMs;  // between the last answers and the exit
 
  private:
--- a/src/node/upstream_attempt.h
+++ b/src/node/upstream_attempt.h
@@ -1,6 +1,6 @@
-// Attempts to establish a client's request at a host: connects, sends the request line and waits for the
-// answer. Uses only the attempt's section of a ProxiedConnection and its deadline; the choice of the host and
-// of further attempts is left to the owner. Design: docs/design.md.
+// UpstreamAttempts executes attempts. An attempt connects to a host, sends the client's request line and
+// waits for the host's answer. Uses only the attempt's section of a ProxiedConnection and its deadline; the
+// choice of the host and of further attempts is left to the owner. Design: docs/design.md.
 #pragma once
 #include <netinet/in.h>
 
@@ -17,7 +17,7 @@
 struct AttemptParameters {
   std::optional<sockaddr_in> address;       ///< nothing if it is unknown: the attempt fails
   Duration timeout = 0;                     ///< for the whole attempt
-  std::optional<Duration> connect_timeout;  ///< if absent, that of the settings
+  std::optional<Duration> connect_timeout;  ///< if absent, the connect timeout of the limits applies
 };
 
 /// The interface through which attempts look up connections and notify their owner.
@@ -55,7 +55,7 @@
   void end(Handle handle, ProxiedConnection& connection, TerminationReason reason);
   /// Continues an attempt whose host's socket is ready.
   void on_host_ready(Handle handle, ProxiedConnection& connection);
-  /// Brings the deadline of an attempt in progress forward to `deadline` at the latest.
+  /// Sets the deadline of an attempt in progress to `deadline` if the present deadline is later.
   void shorten(Handle handle, ProxiedConnection& connection, TimePoint deadline);
   /// Closes the connection to the host without notifying the owner.
   void close_host(ProxiedConnection& connection);
--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -53,7 +53,7 @@
 /// Subscribe to changes of the endpoint list; the service sends the complete list first.
 struct WatchEndpoints {};
 
-/// Call for the endpoint list once, without a subscription.
+/// Request the complete endpoint list once, without a subscription.
 struct FetchEndpoints {};
 
 /// Write a line to the decision log.
--- a/src/policy/adaptive_attempt_limit.cpp
+++ b/src/policy/adaptive_attempt_limit.cpp
@@ -28,8 +28,9 @@
 }
 
 bool AdaptiveAttemptLimit::shared_dependency_fails(TimePoint now) const {
-  // Once the limit leaves few attempts in flight, their results come one at a time and too few endpoints fail
-  // within a second for the count below. Until the next setup in time, failures are still the dependency's.
+  // A low limit allows only a few attempts in flight. Then fewer endpoints fail within a second than the
+  // count below requires. So all failures count as failures of the shared dependency until a setup is in time
+  // again after the last decrease.
   if (is_active(now) && last_in_time_at_ < last_decrease_at_) {
     return true;
   }
--- a/src/policy/attempt_timeout.cpp
+++ b/src/policy/attempt_timeout.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kSetupTimesKept = 40;
-constexpr Duration kAttemptsPerObjective = 3;  // that fit into the setup latency objective
+constexpr Duration kAttemptsPerObjective = 3;  // attempts that are to fit into one setup latency objective
 constexpr Duration kMinTimeoutMultiple =
     3;  // the timeout is no shorter than this multiple of setup_time_p90()
 
--- a/src/policy/backoff.h
+++ b/src/policy/backoff.h
@@ -1,6 +1,6 @@
-// When the endpoint list service is called: at the start, and again after failed calls. The policy and the
-// node both take these waits from here. Pure: reads no clock, draws no random numbers and sends nothing.
-// Times are in ticks of 0.1 ms, random fractions from 0 to 1.
+// The waits before calls to the endpoint list service: before the first call at the start, and before the
+// next one after failed calls. Both the policy and the node use them. Pure: reads no clock, draws no random
+// numbers and sends nothing. Times are in ticks of 0.1 ms, random fractions from 0 to 1.
 #pragma once
 #include <algorithm>
 
@@ -11,8 +11,9 @@
 /// Computes the waits before calls to the endpoint list service.
 class Backoff {
  public:
-  // However earlier calls ended, a node counts as notified of a change kNotificationLimit after the service
-  // had the change and could be reached. Once the service is back, a node takes at most:
+  // A node counts as notified of a change kNotificationLimit after the service had the change and could be
+  // reached, even if the node's calls failed before. A node therefore has to receive the list within that
+  // time, which consists of at most:
   //   kResponseTimeout  to notice that its current call is lost
   //   kMaxWait          to wait before the next call
   //   kQueueingTime     to be served after the calls of all other nodes
@@ -24,7 +25,8 @@
   static constexpr Duration kInitialWait = 250 * kMs;  // after one failure; doubles with each further one
   static constexpr Duration kMinWait =
       50 * kMs;  // limits the rate of calls to a service that refuses at once
-  // Mean interval between the calls of nodes that start together, unless kMaxWait leaves less.
+  // Mean interval between the first calls of nodes that start together; shorter if the longest wait requires
+  // it.
   static constexpr Duration kStartSpacing = 40 * kMs;
 
   /// @param node_count nodes that share the service.
--- a/src/policy/connection_rate_limit.h
+++ b/src/policy/connection_rate_limit.h
@@ -10,10 +10,11 @@
 
 /// The inputs for the rate limit of one endpoint.
 struct SurgeConditions {
-  double capacity = 1;            // of the endpoint, relative to a standard endpoint
-  int open_connections = 0;       // of this node at the endpoint
-  double mean_connections = 0;    // of this node at an endpoint of capacity 1
-  double quota_per_capacity = 0;  // connections of all nodes that tenants' quotas grant, for capacity 1
+  double capacity = 1;          // of the endpoint, relative to a standard endpoint
+  int open_connections = 0;     // of this node at the endpoint
+  double mean_connections = 0;  // of this node at an endpoint of capacity 1
+  /// Open connections of all nodes together that the tenants' quotas allow, per endpoint of capacity 1.
+  double quota_per_capacity = 0;
   /// New connections a second, as a share of mean_connections; 0: no surge, no limit.
   double surge_share_per_second = 0;
   bool reports_headroom = false;  // the endpoint recently reported spare capacity
@@ -26,7 +27,7 @@
   explicit ConnectionRateLimit(const Settings& settings) : settings_(settings) {}
 
   /// Whether this node may open one more connection to the endpoint now.
-  /// @param sent this node's recent work at the endpoint.
+  /// @param sent the work that this node has recently sent to the endpoint.
   [[nodiscard]] bool admits_connection(TimePoint now, const SurgeConditions& conditions,
                                        const SentWorkWindow& sent) const;
 
--- a/src/policy/connection_shedding.h
+++ b/src/policy/connection_shedding.h
@@ -16,7 +16,9 @@
 
 /// One batch of connections to shed.
 struct SheddingBatch {
-  // Share (0 to 1) of the connections at the start of the episode that are to have migrated by now.
+  // Share (0 to 1) of the connections that existed at the start of the shedding episode. This batch and the
+  // earlier ones together migrate this share. An episode is a series of batches without a pause longer than
+  // kEndpointConditionLifetime.
   double cumulative_share = 0;
   bool starts_episode = false;  // the endpoint was not shedding before
 };
--- a/src/policy/constants.h
+++ b/src/policy/constants.h
@@ -5,31 +5,33 @@
 
 namespace dapplewharf {
 
-/// Shortest interval between two expirations of the policy's timer, and between two steps of a rule that acts
-/// in steps.
+/// Shortest interval between two expirations of the policy's timer, and between two consecutive steps of a
+/// rule that works step by step, such as shedding.
 inline constexpr Duration kTimerInterval = 100 * kMs;
 
 /// Consecutive failures that turn a health signal degraded. Also the number of failing endpoints from which
 /// the cause may be a dependency that all endpoints share.
 inline constexpr int kFailuresToDegrade = 3;
 
-/// How long a condition of one endpoint (slow messages, dropped connections) counts after its last report.
-/// Such conditions are reported about once a second.
+/// How long a condition of one endpoint (slow messages, dropped connections) stays in effect after its last
+/// report. Such conditions are reported about once a second.
 inline constexpr Duration kEndpointConditionLifetime = 1500 * kMs;
 
-/// How long a condition of most endpoints (a surge, a failing shared dependency) counts after it was last
-/// observed.
+/// How long a condition of the whole fleet (a surge, a failing shared dependency) stays in effect after it
+/// was last observed.
 inline constexpr Duration kFleetConditionLifetime = 5 * kSecond;
 
 /// Length of the window over which endpoint selections are counted.
 inline constexpr Duration kSelectionWindow = 10 * kSecond;
 
-/// Connections. Counts below it, and differences smaller than it, are too small to compare load by.
+/// A number of connections. Connection counts below it, and differences between counts smaller than it, are
+/// too small to tell which endpoint has the higher load.
 inline constexpr int kConnectionCountMargin = 2;
 
-/// Multiple of the mean number of connections above which an endpoint is over the mean for a request whose
-/// affinity group has connections there. Other requests use a lower multiple. Slow start assumes the same
-/// concentration of selections on one endpoint if gossip is missing.
+/// For a request whose affinity group has connections at an endpoint: the endpoint counts as over the mean if
+/// its connections exceed the mean number of connections by this factor. Other requests use a smaller factor.
+/// Slow start uses the same factor without gossip: it assumes that one endpoint may get this multiple of the
+/// mean number of selections.
 inline constexpr double kGroupOverMeanFactor = 4;
 
 }  // namespace dapplewharf
--- a/src/policy/endpoint_health.h
+++ b/src/policy/endpoint_health.h
@@ -33,14 +33,16 @@
   /// Records whether the endpoint gave any answer to a health check. The result itself goes to add_result().
   void record_check_outcome(Outcome outcome);
 
-  /// Records that the outcome of an attempt or connection has said something about the endpoint.
+  /// Records that an attempt or connection has ended with an outcome that depends on the endpoint, rather
+  /// than on the client or this node.
   void record_connection_outcome(TimePoint now) { last_connection_outcome_ = now; }
 
   /// Whether a successful health check also counts as a success of the passive signal. Otherwise an endpoint
   /// that gets no connections because of past failures would never recover.
   [[nodiscard]] bool checks_count_for_passive_signal(TimePoint now) const;
 
-  /// From 0 to kMaxScore; 0 when both signals are degraded, at most half when one of them is.
+  /// The health score, from 0 to kMaxScore: 0 when both signals are degraded, at most half of kMaxScore when
+  /// one of them is.
   [[nodiscard]] double score() const;
 
   /// Whether either signal is suspect.
--- a/src/policy/endpoint_list_watch.cpp
+++ b/src/policy/endpoint_list_watch.cpp
@@ -8,11 +8,13 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kSilentAfter = 3 * kSecond;  // from the first failed call, besides the nodes' turns
-constexpr double kMaxWaitShare = 0.7;           // of Settings::notification_limit
+// From the first failed call until the service counts as silent. The time over which the nodes spread their
+// calls (Backoff::kStartSpacing for each node) is added to it.
+constexpr Duration kSilentAfter = 3 * kSecond;
+constexpr double kMaxWaitShare = 0.7;  // of Settings::notification_limit
 
-// The longest wait of Backoff alone could exceed a short notification limit, so a share of the limit bounds
-// it.
+// Backoff::kMaxWait could exceed a short notification limit. The longest wait is therefore limited to a share
+// of the notification limit.
 Backoff backoff_for(const Settings& settings) {
   const double max_wait = settings.notification_limit > 0
                               ? kMaxWaitShare * static_cast<double>(settings.notification_limit)
--- a/src/policy/endpoint_list_watch.h
+++ b/src/policy/endpoint_list_watch.h
@@ -1,7 +1,7 @@
-// Keeps the watch on the endpoint list alive: when the list service is called, how long to wait after failed
-// calls (policy/backoff.h), and from when on the list counts as silent, that is without answers for too long.
-// Owns the results of the last calls. Pure: the caller passes the time and random fractions; times are in
-// ticks of 0.1 ms.
+// Keeps the watch on the endpoint list running. It decides when the list service is called, how long to wait
+// after failed calls (policy/backoff.h), and from when on the service counts as silent, which means that its
+// calls have failed for too long without an answer in between. Owns the results of the last calls. Pure: the
+// caller passes the time and random fractions; times are in ticks of 0.1 ms.
 #pragma once
 #include "base/time.h"
 #include "policy/settings.h"
@@ -31,8 +31,8 @@
 
   /// When the next call is due; kNever if none is.
   [[nodiscard]] TimePoint next_call_at() const;
-  /// From when on the list counts as silent unless the service answers before; kNever if the last call did
-  /// not fail.
+  /// The time from which the service counts as silent unless it answers before; kNever if no call has failed
+  /// since the last answer.
   [[nodiscard]] TimePoint silent_from() const;
 
  private:
@@ -42,7 +42,7 @@
   bool has_list_ = false;
   bool is_watching_ = false;        // a call has been started and has not failed
   int failures_ = 0;                // failed calls in a row
-  TimePoint first_failure_at_ = 0;  // of those; 0: none
+  TimePoint first_failure_at_ = 0;  // when the first of these calls failed; 0: no failed call
   TimePoint next_call_at_ = 0;
 };
 
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -13,11 +13,12 @@
 namespace {
 
 constexpr int kRingPointsPerCapacity = 30;  // points on the ring for capacity 1
-// Candidates of tier near or better. Further candidates are rarely asked.
+// The largest number of candidates of the tiers `affinity` and `near`. Further candidates would rarely be
+// asked.
 constexpr std::size_t kMaxPreferredCandidates = 8;
-// Candidates that all nodes together ask for one affinity group during a surge.
+// The number of candidates that all nodes together ask for one affinity group during a surge.
 constexpr double kSurgeCandidatesOfAllNodes = 12;
-// Multiple of the mean connections above which an endpoint is over the mean.
+// Multiple of the mean number of connections above which an endpoint counts as over the mean.
 constexpr double kOverMeanFactor = 1.25;
 constexpr double kBusyFleetLoad = 0.3;       // mean reported load, as a share of capacity
 constexpr double kHighCrossZonePrice = 0.1;  // as a share of the total value of service
@@ -119,8 +120,8 @@
 
 // During a surge only a few endpoints are asked, so that a group is not spread over every endpoint that
 // admits one of its connections. Endpoints that report spare capacity are always asked. Endpoints in slow
-// start are asked last: each node has an allowance at only a few of them, which a short list would rarely
-// contain.
+// start that exceed the limit are asked after all others: each node has an allowance at only a few endpoints
+// in slow start, and a short list would rarely contain these.
 std::vector<std::string> EndpointSelector::limit_candidates(const Ranked& ranked, bool is_surge) const {
   const auto limit = std::max<std::size_t>(
       1, static_cast<std::size_t>(kSurgeCandidatesOfAllNodes / context_.settings.node_count));
@@ -154,10 +155,11 @@
 }
 
 // The shared work of an affinity group is done only once if the nodes of all zones place it on the same
-// endpoints, so for a group an endpoint in another zone may count as near. If crossing zones is cheap it does
-// during a surge, when the fleet is busy, and at any time if endpoints report no load, because scarce
-// capacity would go unnoticed then. If crossing zones is expensive it does only when a surge has left
-// requests without an endpoint.
+// endpoints, so for a group an endpoint in another zone may count as near. If crossing zones is cheap, such
+// an endpoint counts as near during a surge and while the mean reported load is high. If endpoints report no
+// load, it always counts as near, because a shortage of capacity would not be noticed. If crossing zones is
+// expensive, it counts as near only if some request has recently found no endpoint during a surge that still
+// lasts.
 bool EndpointSelector::counts_as_near(const SelectionQuery& query, const FleetStatistics& fleet,
                                       const EndpointStatus& status) const {
   if (status.zone == context_.settings.zone) {
--- a/src/policy/endpoint_selector.h
+++ b/src/policy/endpoint_selector.h
@@ -13,16 +13,20 @@
 
 namespace dapplewharf {
 
-/// Endpoints of a lower tier are asked earlier; within a tier the ring determines the order. Endpoints
-/// in this node's zone are "near", and so are those in other zones that counts_as_near() accepts. All others
-/// are "far".
+/// Endpoints of a lower tier are asked earlier; within a tier the ring determines the order. Endpoints in
+/// this node's zone are "near", and so are those in other zones for which counts_as_near() returns true. All
+/// others are "far". "Over the mean" means that the endpoint's connections, with the new one included, exceed
+/// the mean by at least kConnectionCountMargin and are more than a multiple of it. That multiple is
+/// kGroupOverMeanFactor if the endpoint holds connections of the request's group and gossip is not used,
+/// otherwise a smaller one.
 enum class SelectionTier {
   affinity = 0,        // near, with connections of the request's group; or near, for a mid-connection request
   near = 1,            // near; or far, for a mid-connection request
-  near_over_mean = 2,  // near, with far more connections than the mean
+  near_over_mean = 2,  // near, and over the mean
   far_affinity = 3,    // far, with connections of the request's group
   far = 4,
-  // Over half of its part of the tenants' quotas; or far, with far more connections than the mean.
+  // Near or far, with more than half of the connections per capacity that the tenants' quotas allow; or far,
+  // and over the mean.
   full_or_far_over_mean = 5,
   near_slow = 6,      // near, with slow messages
   far_slow = 7,       // far, with slow messages
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -136,8 +136,9 @@
   }
 }
 
-// Clients that migrated at once would reconnect to this node while it still gets new clients, and all at the
-// same time.
+// Migration starts kNewClientsStopAfter after the start of the shutdown and is spread over
+// kShutdownMigrationTime. Clients that were migrated immediately could reconnect to this node, because it
+// still gets new clients, and they would all reconnect at the same time.
 void EndpointSet::migrate_for_shutdown() {
   if (shutdown_started_at_ <= 0 || context_.now - shutdown_started_at_ < kNewClientsStopAfter) {
     return;
@@ -169,8 +170,8 @@
 }
 
 // Collects the statistics and updates the freeze of weights. Weights are frozen while most endpoints are
-// degraded or the endpoint list service does not answer: the fault is then behind the endpoints or at this
-// node, and moving connections between endpoints would only cause churn.
+// degraded or the endpoint list service does not answer: the fault is then probably in a dependency that the
+// endpoints share or at this node, and moving connections between endpoints would only cause churn.
 FleetStatistics EndpointSet::collect_statistics() {
   auto [fleet, endpoint_count, degraded_count] = statistics_.collect(statuses_, context_.now);
   const bool is_list_silent = context_.now >= list_watch_.silent_from();
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -1,7 +1,7 @@
-// The endpoints of the list: passes each endpoint its entry of the list, wakes up endpoints whose periodic
-// work is due, and decides when weights are frozen. Keeps the endpoints' last statuses, the watch on the list
-// (endpoint_list_watch) and the statistics over all endpoints (fleet_statistics). docs/design.md describes
-// the freeze of weights.
+// EndpointSet manages the endpoints of the endpoint list. It passes each endpoint its entry of the list,
+// wakes up endpoints whose periodic work is due, and decides when weights are frozen. It keeps the endpoints'
+// last statuses, the watch on the list (endpoint_list_watch) and the statistics over all endpoints
+// (fleet_statistics). docs/design.md describes the freeze of weights.
 #pragma once
 #include <map>
 #include <set>
@@ -45,8 +45,9 @@
   EndpointListWatch list_watch_;
   FleetStatisticsCollector statistics_;
   std::map<std::string, EndpointStatus> statuses_;
-  std::set<std::string> known_endpoints_;                      // all that a list has named so far
-  std::map<std::string, double> largest_weight_by_type_;       // by machine type, if weights follow load
+  std::set<std::string> known_endpoints_;  // all that a list has named so far
+  // The largest weight that a list has named, by machine type; only if weights follow load.
+  std::map<std::string, double> largest_weight_by_type_;
   std::set<std::pair<TimePoint, std::string>> wake_up_queue_;  // endpoints, by the time of their next wake-up
   bool weights_frozen_ = false;
   bool is_freeze_check_due_ = false;  // a status change may freeze or unfreeze weights
--- a/src/policy/endpoint_status.h
+++ b/src/policy/endpoint_status.h
@@ -1,5 +1,6 @@
 // The state of one endpoint that it publishes to the other parts of the policy. Times are in ticks of 0.1 ms;
-// a condition that holds until a time in the past no longer holds.
+// a field named "..._until" is the time when its condition ends, so the condition does not hold if that time
+// is in the past.
 #pragma once
 #include <cstdint>
 #include <string>
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -21,7 +21,9 @@
   std::string zone;
   std::int64_t cell = 0;
   EndpointState state = EndpointState::healthy;
-  double size = 1;             // relative capacity; if weights follow load, the part of it that is not in use
+  // Capacity relative to a standard endpoint; if weights follow load, only the part of that capacity that is
+  // not in use.
+  double size = 1;
   TimePoint started_at = 0;    // 0: unknown, or long before the list was read
   std::string machine_type{};  // endpoints of one type have the same capacity
 };
--- a/src/policy/fleet_statistics.cpp
+++ b/src/policy/fleet_statistics.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr double kDegradedScore = 75;          // endpoints with a lower score are degraded
-constexpr double kMinWeightForMeans = 0.5;     // endpoints with a higher weight count for the means
+constexpr double kMinWeightForMeans = 0.5;     // only endpoints with a higher weight are included in means
 constexpr double kSurgeSharePerSecond = 0.25;  // new connections a second, as a share of the mean connections
-constexpr double kMigrationShare = 0.15;       // of the open connections may migrate within a second
+constexpr double kMigrationShare = 0.15;  // share of the open connections that may migrate within a second
 // Share of the migration budget that remains however many endpoints are slow.
 constexpr double kMinMigrationBudgetShare = 0.5;
 constexpr double kSustainedDecayTime = 30 * kSecond;  // time constant of exponential decay
@@ -95,7 +95,7 @@
                                                             TimePoint now) {
   std::map<std::string, CapacitySum> sums = totals.warm_connections_by_type;
   if (totals.warm_connections.capacity > 0) {
-    sums[""] = totals.warm_connections;  // for machine types that have never been warm
+    sums[""] = totals.warm_connections;  // used for machine types that have had no warm endpoint yet
   }
   const double retained_share =
       std::exp(-static_cast<double>(now - std::exchange(sustained_updated_at_, now)) / kSustainedDecayTime);
@@ -110,8 +110,9 @@
   }
 }
 
-// If few requests arrive, health checks at the usual rate would cost more than the service is worth. The
-// endpoints are then still observed by the checks before an admission and by message latencies.
+// If few requests arrive, health checks at the usual rate would cost more than kHealthCheckCostShare of the
+// value of serving them. The endpoints are then still observed by the health checks that precede an admission
+// and by message latencies.
 Duration FleetStatisticsCollector::min_health_check_interval(int endpoint_count, TimePoint now) const {
   if (!settings_.load_value_index || arrivals_.empty()) {
     return 0;
--- a/src/policy/fleet_statistics.h
+++ b/src/policy/fleet_statistics.h
@@ -1,7 +1,8 @@
 // Statistics over all endpoints, computed on demand from their statuses: means, the surge limit, the
 // migration budget and the sustainable connections of each machine type. FleetStatisticsCollector keeps the
-// recent arrivals and selections and what machine types have sustained. It reads no clock: the caller passes
-// the time, in ticks of 0.1 ms.
+// times of recent arrivals and selections, and the number of connections that each machine type has
+// sustained. It reads no clock: the caller passes the time, in ticks of 0.1 ms. "Warm" endpoints are those
+// that are past slow start and have a weight above kMinWeightForMeans.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -24,10 +25,11 @@
   double mean_score = 100;  // mean health score; the first score of a new endpoint
   /// New connections a second that an endpoint may get, as a share of mean_connections; 0: no limit.
   double surge_share_per_second = 0;
-  /// Open connections of this node per capacity, in its own zone if endpoints there have enough weight, else
+  /// Open connections of this node per capacity: in its own zone if an endpoint there has enough weight, else
   /// in all zones.
   double mean_connections = 0;
-  /// Open connections of this node per endpoint. At least kConnectionCountMargin over all nodes together.
+  /// Mean number of open connections of this node at one endpoint. At least kConnectionCountMargin divided by
+  /// the number of nodes.
   double connections_per_endpoint = 1e9;
   /// This node cannot tell how loaded endpoints are: it has too few connections, and gossip is missing.
   bool is_load_unknown = false;
@@ -35,16 +37,18 @@
   double mean_connections_all_nodes = -1;
   /// Mean load that warm endpoints report, as a share of their capacity; below 0: unknown.
   double mean_reported_load = -1;
-  /// Shortest interval between steady health checks of an endpoint at which their cost stays acceptable.
+  /// Shortest interval between health checks of an endpoint whose health is not suspect, such that the cost
+  /// of all these checks stays within a fixed share of the value of service.
   Duration min_health_check_interval = 0;
   int migration_budget = 0;            // connections that may migrate within a second
   double selections_per_capacity = 0;  // within kSelectionWindow
-  double group_selections = 0;         // those for the affinity group of the request that is being placed
+  double group_selections = 0;  // selections within kSelectionWindow for the affinity group of the request
   /// Open connections of this node per capacity that warm endpoints sustain, by machine type; "" is over all
   /// types.
   std::shared_ptr<const std::map<std::string, double>> sustained_connections_by_type;
   bool has_endpoint_in_slow_start = false;
-  double quota_per_capacity = 0;  // open connections of all nodes that the tenants' quotas allow
+  /// Open connections of all nodes together, per capacity, that the tenants' quotas allow.
+  double quota_per_capacity = 0;
 };
 
 /// Whether the endpoint counts as degraded for the freeze of weights: a low score outside slow start.
--- a/src/policy/health_check_schedule.h
+++ b/src/policy/health_check_schedule.h
@@ -1,6 +1,6 @@
-// When this node checks the health of one endpoint. All nodes together keep within one rate of checks per
-// endpoint; otherwise the checks of many nodes would be more work for it than their connections. Design:
-// docs/design.md.
+// When this node checks the health of one endpoint. The rate at which all nodes together check one endpoint
+// is limited; otherwise the checks of many nodes would be more work for the endpoint than their connections.
+// Design: docs/design.md.
 #pragma once
 #include <optional>
 
@@ -38,8 +38,8 @@
 
   /// Records that a check has been sent, and schedules the next one.
   /// @param is_suspect whether the endpoint's health is suspect; the next check then follows sooner.
-  /// @param min_steady_interval shortest time to the next check otherwise, in ticks of 0.1 ms; it limits the
-  ///     cost of health checks.
+  /// @param min_steady_interval shortest time to the next check if the health is not suspect, in ticks of
+  ///     0.1 ms; it limits the cost of health checks.
   void record_check_started(TimePoint now, bool is_suspect, Duration min_steady_interval);
 
   /// Records that the check in flight has ended.
@@ -51,7 +51,8 @@
  private:
   [[nodiscard]] Duration steady_interval() const;
   [[nodiscard]] Duration suspect_interval() const;
-  // The interval of this node such that all nodes together keep theirs.
+  // The interval between this node's checks of the endpoint: at least `interval_of_one_node`, and long enough
+  // that the checks of all nodes together are on average no less than `interval_of_all_nodes` apart.
   [[nodiscard]] Duration shared_interval(Duration interval_of_one_node, Duration interval_of_all_nodes) const;
 
   const Settings& settings_;
--- a/src/policy/load_balancer.h
+++ b/src/policy/load_balancer.h
@@ -24,7 +24,8 @@
   void update_settings(Settings settings);
 
   /// Handles a batch of events in order.
-  /// @param now monotonic time in ticks of 0.1 ms; a time before the previous call's is replaced by that one.
+  /// @param now monotonic time in ticks of 0.1 ms. If it is earlier than the time of a previous call, that
+  ///     time is used instead.
   /// @return the actions to carry out, in order.
   std::vector<PolicyAction> handle_events(TimePoint now, const std::vector<PolicyEvent>& events);
 
--- a/src/policy/message_latency.h
+++ b/src/policy/message_latency.h
@@ -26,10 +26,10 @@
   /// objective.
   [[nodiscard]] bool is_slow(TimePoint now) const;
 
-  /// Until when the endpoint counts as slow; 0 where it does not.
+  /// Until when the endpoint counts as slow; 0 if its last report was not slow.
   [[nodiscard]] TimePoint slow_until() const;
 
-  /// Until when the endpoint counts as over its objective; 0 where it does not.
+  /// Until when the endpoint counts as over its objective; 0 if its last report was within the objective.
   [[nodiscard]] TimePoint over_objective_until() const;
 
   /// Whether messages take longer than the longest deadline of any client.
--- a/src/policy/messages.h
+++ b/src/policy/messages.h
@@ -30,8 +30,10 @@
 struct EndpointListed {
   EndpointEntry entry;
   FleetStatistics fleet;
-  std::optional<double> connections_all_nodes;  // derived from a load-following weight; nothing: unknown
-  bool is_new = false;                          // not in any earlier list, and this list is not the first
+  // Connections of all nodes at the endpoint, derived from its weight if weights follow load; nothing:
+  // unknown.
+  std::optional<double> connections_all_nodes;
+  bool is_new = false;  // not in any earlier list, and this list is not the first
 };
 
 /// The complete endpoint list no longer contains this endpoint.
@@ -105,7 +107,9 @@
   std::vector<std::string> tried_endpoints;  // endpoints of the request's earlier attempts
   std::set<std::string> affinity_endpoints;  // where this node has connections of the request's group
   int open_group_connections = 0;            // this node's connections of the request's group
-  std::string deduplicating_endpoint;        // repeats are safe only within scope of it; empty: anywhere
+  // An endpoint that may have run the request. A repeat is safe only at endpoints that know this endpoint's
+  // idempotency keys, as deduplication_scope says; empty: the request may be sent to any endpoint.
+  std::string deduplicating_endpoint;
   DeduplicationScope deduplication_scope = DeduplicationScope::cell;
   bool is_capacity_short = false;  // some request recently found no endpoint during a surge
 };
--- a/src/policy/reconnect_policy.h
+++ b/src/policy/reconnect_policy.h
@@ -1,7 +1,8 @@
-// When an adopted connection, one that was open at an endpoint before this node started, is connected there
-// again. Only that endpoint holds the connection's state, so no endpoint is chosen; this policy decides the
-// timeout of each attempt and the pause before the next one. RequestLedger decides whether another attempt is
-// allowed at all. Pure: the caller passes the time and random fractions; times are in ticks of 0.1 ms.
+// The schedule on which this node reconnects an adopted connection, which was open at an endpoint before this
+// node started, to the same endpoint. Only that endpoint holds the connection's state, so no endpoint is
+// chosen; this policy decides the timeout of each attempt and the pause before the next one. RequestLedger
+// decides whether another attempt is allowed at all. Pure: the caller passes the time and random fractions;
+// times are in ticks of 0.1 ms.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -15,13 +16,14 @@
  public:
   // The protocol counts an adopted connection as lost if it is not established within this time.
   static constexpr Duration kReconnectTimeout = 40 * kSecond;
-  // For the first attempt to connect and be answered; doubles with each further attempt. Long enough for two
-  // lost SYNs.
+  // The timeout of the first attempt, from the start of connecting to the endpoint's answer. It doubles with
+  // each further attempt, and is long enough for an attempt that loses two SYN packets to succeed.
   static constexpr Duration kInitialAttemptTimeout = 4 * kSecond;
   static constexpr Duration kMaxAttemptTimeout = 16 * kSecond;
   static constexpr Duration kInitialPause = 20 * kMs;
   static constexpr Duration kMaxPause = kSecond;
-  // If no endpoint list names the endpoint: a client that named a wrong endpoint gets its error soon.
+  // After this time no further attempt starts if no endpoint list names the endpoint, so that a client that
+  // named a wrong endpoint soon gets an error.
   static constexpr Duration kUnlistedEndpointTimeout = 2 * kSecond;
 
   /// @param started_at when the reconnection starts.
--- a/src/policy/request_ledger.cpp
+++ b/src/policy/request_ledger.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// check_repeat with its obstacle as a violation.
+// Calls check_repeat and converts the obstacle that it returns to a violation.
 std::optional<Violation> repeat_violation(const RepeatRule& rule, std::span<const Attempt> attempts,
                                           const EndpointLocation& target, TimePoint now) {
   const std::optional<RepeatObstacle> obstacle = check_repeat(rule, attempts, target, now);
--- a/src/policy/request_ledger.h
+++ b/src/policy/request_ledger.h
@@ -1,5 +1,6 @@
-// Records the attempts and the final answer of each request of this node, and checks each attempt and answer
-// before it is sent against those of the four rules in docs/design.md that concern a single request:
+// RequestLedger records the attempts and the final answer of each request of this node. It checks each
+// attempt and each answer before it is sent. Of the four rules in docs/design.md it checks the three that
+// concern a single request:
 //   - One final answer: a request gets exactly one unless its client has disconnected. No attempt starts
 //     after it, after the deadline or while another attempt is in flight.
 //   - No effect twice: a request that may have run is repeated only at an endpoint that drops the repeat
@@ -21,7 +22,7 @@
 
 namespace dapplewharf {
 
-/// The final answers on the wire.
+/// The final answers that the protocol defines: UP, BUSY, ERR and MOVE.
 enum class FinalAnswer { up, busy, error, move };
 
 /// Why a step is not allowed.
@@ -46,7 +47,7 @@
   void open(const std::string& id, const RepeatRule& rule, TimePoint deadline);
   /// Records that the client of this request has disconnected.
   void record_client_disconnect(const std::string& id);
-  /// Lowers all later deadlines to this one, because the process ends then.
+  /// Sets the deadline of every request that has a later one to this time, because the process ends then.
   void expire_by(TimePoint deadline);
 
   /// Whether an attempt may be started.
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -11,8 +11,8 @@
 namespace dapplewharf {
 namespace {
 
-constexpr Duration kStallTimeout = 3 * kSecond;  // of an unanswered message; then its connection migrates
-constexpr Duration kMigrationWindow = kSecond;   // of the migration budget
+constexpr Duration kStallTimeout = 3 * kSecond;  // a connection migrates if a message is unanswered this long
+constexpr Duration kMigrationWindow = kSecond;   // the window to which the migration budget applies
 constexpr double kHashRange = 4294967296.0;      // 2^32; the upper half of a hash is below it
 constexpr double kMinRetryAfterShare = 0.2;      // of Settings::max_retry_after
 
@@ -22,7 +22,7 @@
   std::visit([this](const auto& typed_message) { handle(typed_message); }, message);
 }
 
-// Lowers the deadlines to the node's shutdown: an answer due after it would never be sent.
+// Limits the deadlines to the answer deadline of the node's shutdown: a later answer would never be sent.
 void RequestTable::handle(const ShutdownStarted& event) {
   if (event.answer_deadline <= 0) {
     return;
@@ -329,8 +329,8 @@
   return attempt_timeout_.timeout_before_retry(time_left, setup_latency_objective(request));
 }
 
-// All final answers to requests that were not established are sent from here. Retry-After is random, because
-// clients with the same one would all repeat at the same time.
+// All final answers to requests that were not established are sent from here. The Retry-After time is random,
+// because clients that are told the same time would all repeat their requests at the same time.
 void RequestTable::send_final_answer(Request& request) {
   if (std::exchange(request.is_answered, true)) {
     return;
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -24,8 +24,10 @@
   RepeatRule repeat_rule;
   std::vector<Attempt> attempts;
   bool is_established = false;
-  bool is_answered = false;  // finally, or its client has disconnected; kept until its last attempt has ended
-  bool is_pending = false;   // adopted, and the endpoint has not confirmed it yet
+  // The final answer has been sent or the client has disconnected. The request is kept until its last attempt
+  // has ended.
+  bool is_answered = false;
+  bool is_pending = false;  // adopted, and the endpoint has not confirmed it yet
 };
 
 /// All requests of this node, by id.
@@ -79,7 +81,7 @@
   RetryBudget retry_budget_;
   AdaptiveAttemptLimit attempt_limit_;
   AttemptTimeout attempt_timeout_;
-  int attempts_in_flight_ = 0;                 // without established connections
+  int attempts_in_flight_ = 0;                 // does not include established connections
   std::optional<TimePoint> last_shortage_at_;  // when a request last found no endpoint during a surge
   std::deque<TimePoint> migrated_at_;          // migrations within the last second
 };
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,6 +1,7 @@
 // Whether a request may be repeated or rejected, given its traffic class's idempotency and the results of its
-// attempts. RequestTable calls these functions before it selects an endpoint, and RequestLedger before an
-// attempt starts and before its first byte. A retry also needs the attempt limit and the retry budget, which
+// attempts. RequestTable calls these functions before it selects an endpoint. RequestLedger calls them before
+// an attempt starts and again before its first byte is sent, and before a final answer is sent. A retry must
+// also be allowed by the limit on attempts, the adaptive attempt limit and the retry budget, which
 // RequestTable::select_endpoints checks. Pure functions of plain values. Design: docs/design.md.
 #pragma once
 #include <cstdint>
@@ -28,14 +29,15 @@
 /// the same zone or cell.
 enum class DeduplicationScope { all, zone, cell };
 
-/// The rule of a traffic class on repeats.
+/// The rule that says when a request of a traffic class may be repeated.
 struct RepeatRule {
   Idempotency idempotency = Idempotency::non_idempotent;
   DeduplicationScope scope = DeduplicationScope::all;
-  Duration window = 0;  // from an attempt's start; endpoints within the scope drop repeats until its end
+  // How long after an attempt's start the endpoints within the scope drop repeats of it.
+  Duration window = 0;
 };
 
-/// An endpoint and its zone and cell, which decide on the scope of deduplication.
+/// An endpoint with its zone and cell, which determine whether it is within a deduplication scope.
 struct EndpointLocation {
   std::string endpoint, zone;
   std::int64_t cell = 0;
@@ -45,7 +47,7 @@
 struct Attempt {
   EndpointLocation location;  // RequestTable leaves zone and cell empty
   TimePoint started_at = 0;
-  bool is_in_flight = true;  // until its result is known, also if it was cancelled
+  bool is_in_flight = true;  // until its result is known; a cancelled attempt has no known result at first
   bool may_have_run = true;
 };
 
@@ -64,9 +66,10 @@
 [[nodiscard]] bool may_have_run(Outcome outcome);
 
 /// Whether a request may be sent again after these attempts.
-/// @param target endpoint of the repeat; nothing if none is selected yet, then it is assumed to be within the
-/// deduplication scope, because the selector chooses only among those endpoints.
-/// @return the obstacle that the first obstructing attempt makes; nothing if the request may be repeated.
+/// @param target endpoint of the repeat; nothing if none is selected yet. In that case it is assumed to be in
+///     the deduplication scope, because the selector chooses only among those endpoints.
+/// @return the obstacle found at the earliest attempt that prevents a repeat; nothing if the request may be
+///     repeated.
 [[nodiscard]] std::optional<RepeatObstacle> check_repeat(const RepeatRule& rule,
                                                          std::span<const Attempt> attempts,
                                                          const std::optional<EndpointLocation>& target,
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -51,7 +51,7 @@
 
 /// All settings of the policy.
 struct Settings {
-  // The fleet of nodes, and this node's place in it.
+  // The number of nodes, and the index and zone of this node.
   double node_count = 1;  // at least 1
   double node_index = 0;  // from 0
   std::string zone;
@@ -65,11 +65,13 @@
   double overload_multiple = 0;
 
   // The endpoint list.
-  // The time from the notice that an endpoint drains until no request may be sent there. Within it only
-  // mid-connection requests may.
+  // The time from the notice that an endpoint drains until no request may be sent there. Before that time has
+  // passed, only mid-connection requests may be sent there.
   Duration drain_grace = 0;
-  Duration notification_limit = 0;   // this long after a change a node counts as notified of it; 0: no limit
-  bool polls_endpoint_list = false;  // the policy calls for the list; otherwise the service pushes changes
+  // The time after a change of the endpoint list when a node counts as notified of the change; 0: no limit.
+  Duration notification_limit = 0;
+  // The policy decides when to request the list; otherwise the service pushes changes.
+  bool polls_endpoint_list = false;
   bool may_use_removed_endpoints = false;  // while their health checks succeed
   bool weights_follow_load = false;        // an endpoint's weight is the part of its capacity not in use
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -9,12 +9,15 @@
 namespace dapplewharf {
 namespace {
 
-// Shares of the load that would overload an endpoint in slow start. Slots use one share; connections admitted
-// at random use the other.
+// Shares of the load that would overload an endpoint in slow start. The slots of all nodes together use up to
+// kSlotShare. Connections are admitted at random up to kRandomShare. The two shares are not added: a node
+// admits no connection at random if its recent connections, including those of its slots, already use that
+// allowance.
 constexpr double kSlotShare = 0.7;
 constexpr double kRandomShare = 0.4;
-// Multiple of the mean number of selections that one endpoint may get until gossip about its connections has
-// reached the other nodes.
+// The multiple of the mean number of selections that one endpoint is assumed to get if gossip is available.
+// It is above 1 because connections opened since the last gossip message are not known to the other nodes
+// yet.
 constexpr double kConcentrationWithGossip = 1.5;
 
 }  // namespace
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,6 +1,7 @@
 // Slow start: how many connections this node may open to an endpoint that has started recently and cannot
-// take its full load yet. Nodes divide the endpoint's capacity among them without communicating, by the
-// endpoint's age, which is the same at every node. Design: docs/design.md.
+// take its full load yet. Nodes share the endpoint's capacity without communicating: each node computes from
+// the endpoint's age, which is the same at every node, when it is the node's turn to open a connection. Such
+// a turn is called a slot. Design: docs/design.md.
 #pragma once
 #include <string>
 
@@ -45,8 +46,8 @@
 
   /// Whether this node may open one more connection to the endpoint during slow start.
   /// @param sent this node's recent work at the endpoint.
-  /// @param random drawn from only if this node has no slot left and its random allowance is below one
-  ///     connection.
+  /// @param random a random number is drawn from it only if this node has no unused slot and may admit less
+  ///     than one connection at random.
   [[nodiscard]] bool admits_connection(TimePoint now, const SlowStartConditions& conditions,
                                        const SentWorkWindow& sent, RandomGenerator& random) const;
 
