--- a/src/config/tool.cpp
+++ b/src/config/tool.cpp
@@ -41,7 +41,7 @@
   return text.str();
 }
 
-// Danger: half a file in place of a whole one, if the disk is full.
+// If the disk is full, an incomplete file must not replace a complete one.
 void replace_file(const std::string& path, const std::string& text) {
   const std::string beside = path + ".new";
   std::ofstream out(beside, std::ios::binary | std::ios::trunc);
